--- a/fennelstage-bench/src/main/java/org/fennelstage/bench/CascadeMain.java
+++ b/fennelstage-bench/src/main/java/org/fennelstage/bench/CascadeMain.java
@@ -126,7 +126,7 @@
             for (int i = 0; i < REQUESTS; i++) {
                 while (!ratings.isEmpty() && ratings.peek().due() <= i) {
                     final Rating rating = ratings.poll();
-                    table.rated(
+                    table.recordRating(
                             rating.profile(),
                             rating.version(),
                             rating.confidence(),
@@ -196,7 +196,7 @@
                 final double confidence,
                 final double got,
                 final boolean isRated) {
-            table.seen(profile, version, confidence);
+            table.recordAnswer(profile, version, confidence);
             if (isRated) {
                 ratings.add(new Rating(index + RATING_DELAY, profile, version, confidence, got));
             }
--- a/fennelstage-core/src/main/java/org/fennelstage/cascade/CascadePolicy.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/cascade/CascadePolicy.java
@@ -88,8 +88,8 @@
             final double point) {
         final ProfileId id = profile.id();
         final double least = profile.quality() + MARGIN;
-        final boolean cheapIsKnown = table.rated(id, cheap.version()) >= LEAST_RATED_DIRECT;
-        if (cheapIsKnown && table.expected(id, cheap.version()) >= least) {
+        final boolean cheapIsKnown = table.ratingCount(id, cheap.version()) >= LEAST_RATED_DIRECT;
+        if (cheapIsKnown && table.expectedRating(id, cheap.version()) >= least) {
             return Plan.CHEAP;
         }
         if (cheap.seconds() + best.seconds() > secondsLeft) {
@@ -126,7 +126,7 @@
         return table.lowestUsable(
                 profile.id(),
                 cheap,
-                table.expected(profile.id(), best),
+                table.expectedRating(profile.id(), best),
                 profile.quality() + MARGIN,
                 profile.quality() * FLOOR_SHARE,
                 LEAST_RATED);
--- a/fennelstage-core/src/main/java/org/fennelstage/cascade/RatingTable.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/cascade/RatingTable.java
@@ -52,7 +52,7 @@
      * @param version what answered
      * @param confidence the engine's confidence, in [0, 1]
      */
-    public synchronized void seen(
+    public synchronized void recordAnswer(
             final ProfileId profile, final VersionId version, final double confidence) {
         counts(profile, version).seen[bucket(confidence)]++;
     }
@@ -65,7 +65,7 @@
      * @param confidence the engine's confidence, in [0, 1]
      * @param rating the rating, in [0, 1]
      */
-    public synchronized void rated(
+    public synchronized void recordRating(
             final ProfileId profile,
             final VersionId version,
             final double confidence,
@@ -82,7 +82,7 @@
      * @param version what answers
      * @return the expected rating, one half before any
      */
-    public synchronized double expected(final ProfileId profile, final VersionId version) {
+    public synchronized double expectedRating(final ProfileId profile, final VersionId version) {
         final Counts arm = counts(profile, version);
         double sum = 0;
         for (final double part : arm.sum) {
@@ -98,7 +98,7 @@
      * @param version what answered
      * @return the count
      */
-    public synchronized long rated(final ProfileId profile, final VersionId version) {
+    public synchronized long ratingCount(final ProfileId profile, final VersionId version) {
         return total(counts(profile, version).rated);
     }
 
--- a/fennelstage-core/src/main/java/org/fennelstage/request/RetryBudget.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/request/RetryBudget.java
@@ -31,7 +31,7 @@
     }
 
     /** Notes a first attempt. */
-    public synchronized void onAttempt() {
+    public synchronized void onFirstAttempt() {
         available = Math.min(reserve, available + share);
     }
 
--- a/fennelstage-core/src/test/java/org/fennelstage/cascade/CascadePolicyTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/cascade/CascadePolicyTest.java
@@ -73,8 +73,8 @@
             final int count,
             final double rating) {
         for (int i = 0; i < count; i++) {
-            table.seen(PROFILE.id(), version, confidence);
-            table.rated(PROFILE.id(), version, confidence, rating);
+            table.recordAnswer(PROFILE.id(), version, confidence);
+            table.recordRating(PROFILE.id(), version, confidence, rating);
         }
     }
 }
--- a/fennelstage-core/src/test/java/org/fennelstage/request/RetryBudgetTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/request/RetryBudgetTest.java
@@ -19,7 +19,7 @@
         for (final boolean isAttempt : events) {
             if (isAttempt) {
                 attempts++;
-                budget.onAttempt();
+                budget.onFirstAttempt();
             } else if (budget.tryRetry()) {
                 retries++;
             }
--- a/fennelstage-router/src/main/java/org/fennelstage/route/Cascades.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/Cascades.java
@@ -91,7 +91,7 @@
             final VersionId version,
             final double confidence,
             final double seconds) {
-        table.seen(profile.id(), version, confidence);
+        table.recordAnswer(profile.id(), version, confidence);
         times.note(profile.id(), version, seconds);
     }
 
@@ -100,7 +100,7 @@
             final VersionId version,
             final double confidence,
             final double rating) {
-        table.rated(profile.id(), version, confidence, rating);
+        table.recordRating(profile.id(), version, confidence, rating);
     }
 
     private Optional<ModelVersion> proven(
--- a/fennelstage-router/src/main/java/org/fennelstage/route/ChatRun.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/ChatRun.java
@@ -204,7 +204,7 @@
             return;
         }
         if (attempts.isFirst()) {
-            services.retries().onAttempt();
+            services.retries().onFirstAttempt();
         }
         // The declarations may have changed while the share or the claim was on its way; a version
         // withdrawn meanwhile must not get this request.
