--- a/fennelstage-core/src/main/java/org/fennelstage/cascade/CascadePolicy.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/cascade/CascadePolicy.java
@@ -6,34 +6,32 @@
 import org.fennelstage.profile.Profile;
 
 /**
- * Decides whether the cheap version answers, the best one, or the best one after the cheap one.
+ * Decides per request whether the cheap version, the best version, or a cascade of both answers.
  *
- * <p>Good enough is what the profile promises: a mean rating. Laws: without time for both answers
- * there is no cascade; cheap answers are used from that confidence upwards from which the mean over
- * all answers is expected to reach the promise; until ratings tell, the best version answers.
- * Thread-safe, since the table is.
+ * <p>The target is the mean rating that the profile promises. Invariants: a cascade is chosen only
+ * if both answers fit before the deadline; cheap answers are used from the lowest confidence at
+ * which the expected mean rating of all answers reaches the target; no cheap answer is used while
+ * no confidence bucket has enough ratings. Thread-safe.
  */
 public final class CascadePolicy {
 
-    /** How far above the promise the expected rating must lie, since estimates err. */
-    private static final double MARGIN = 0.02;
+    /** Added to the promised rating to allow for estimation error. */
+    private static final double RATING_MARGIN = 0.02;
 
-    /** Cheap answers expected below this share of the promise are used for no caller. */
-    private static final double FLOOR_SHARE = 0.9;
+    /** Cheap answers with an expected rating below this share of the promised one are not used. */
+    private static final double MIN_BUCKET_RATING_SHARE = 0.9;
 
-    /** A confidence counts only after this many ratings. */
-    private static final int LEAST_RATED = 12;
+    /** The number of ratings that a confidence bucket needs to be considered. */
+    private static final int MIN_BUCKET_RATINGS = 12;
 
-    /**
-     * Ratings of the cheap version before its answers go out without a look at their confidence.
-     */
-    private static final int LEAST_RATED_DIRECT = 100;
+    /** The number of ratings that the cheap version needs before it answers without a cascade. */
+    private static final int MIN_RATINGS_FOR_CHEAP = 100;
 
-    /** A cascade must be expected to save this share of the cost. */
-    private static final double LEAST_SAVING = 0.1;
+    /** The minimum expected saving of a cascade, as a share of the best version's cost. */
+    private static final double MIN_SAVING_SHARE = 0.1;
 
-    /** The share of requests that go through a cascade to keep on learning. */
-    private static final double EXPLORE = 0.05;
+    /** The share of requests that take a cascade regardless of its saving, to collect ratings. */
+    private static final double EXPLORATION_SHARE = 0.05;
 
     private final RatingTable table;
 
@@ -41,27 +39,27 @@
         this.table = Objects.requireNonNull(table, "table is null");
     }
 
-    /** What a request does. */
+    /** Which versions answer a request. */
     public enum Plan {
-        /** The cheap version answers, and its answer streams at once. */
+        /** The cheap version answers; its response is streamed as it arrives. */
         CHEAP,
-        /** The cheap version answers first; its answer is held back until it is accepted. */
+        /** The cheap version answers first; its answer is withheld until it is accepted. */
         CASCADE,
         /** The best version answers. */
         BEST
     }
 
     /**
-     * One version that may answer. Immutable and thread-safe.
+     * A version that may answer. Immutable and thread-safe.
      *
      * @param version the version
-     * @param cost the cost of an answer
-     * @param seconds the time to a whole answer
+     * @param cost the cost of an answer, in any unit common to all options
+     * @param seconds the expected time to the complete answer; seconds
      */
     public record Option(VersionId version, double cost, double seconds) {}
 
     /**
-     * Returns a policy that learns from a table.
+     * Returns a policy that decides by the ratings of a table.
      *
      * @param table the ratings
      * @return the policy
@@ -71,13 +69,13 @@
     }
 
     /**
-     * Decides for one request.
+     * Chooses the plan for one request.
      *
-     * @param profile the profile asked for
+     * @param profile the profile of the request
      * @param cheap the cheap version
      * @param best the best version
-     * @param secondsLeft the time to the deadline
-     * @param point a number in [0, 1) that decides whether to explore
+     * @param secondsLeft the time to the deadline; seconds
+     * @param explorationPoint the request's random number in [0, 1); a low one forces exploration
      * @return the plan
      */
     public Plan plan(
@@ -85,50 +83,54 @@
             final Option cheap,
             final Option best,
             final double secondsLeft,
-            final double point) {
+            final double explorationPoint) {
         final ProfileId id = profile.id();
-        final double least = profile.quality() + MARGIN;
-        final boolean cheapIsKnown = table.ratingCount(id, cheap.version()) >= LEAST_RATED_DIRECT;
-        if (cheapIsKnown && table.expectedRating(id, cheap.version()) >= least) {
+        final double minRating = profile.quality() + RATING_MARGIN;
+        final boolean hasEnoughRatings =
+                table.ratingCount(id, cheap.version()) >= MIN_RATINGS_FOR_CHEAP;
+        if (hasEnoughRatings && table.expectedRating(id, cheap.version()) >= minRating) {
             return Plan.CHEAP;
         }
         if (cheap.seconds() + best.seconds() > secondsLeft) {
             return Plan.BEST;
         }
-        if (!cheapIsKnown || point < EXPLORE) {
+        if (!hasEnoughRatings || explorationPoint < EXPLORATION_SHARE) {
             return Plan.CASCADE;
         }
-        final double accepted =
+        final double acceptedShare =
                 table.shareFrom(
-                        id, cheap.version(), lowest(profile, cheap.version(), best.version()));
-        final double expected = cheap.cost() + (1 - accepted) * best.cost();
-        return expected <= best.cost() * (1 - LEAST_SAVING) ? Plan.CASCADE : Plan.BEST;
+                        id,
+                        cheap.version(),
+                        lowestAcceptedBucket(profile, cheap.version(), best.version()));
+        final double expectedCost = cheap.cost() + (1 - acceptedShare) * best.cost();
+        return expectedCost <= best.cost() * (1 - MIN_SAVING_SHARE) ? Plan.CASCADE : Plan.BEST;
     }
 
     /**
-     * Decides whether a cheap answer is good enough.
+     * Returns whether a cheap answer is good enough to be used.
      *
-     * @param profile the profile asked for
+     * @param profile the profile of the request
      * @param cheap the cheap version
-     * @param best the version that would answer instead
-     * @param confidence the engine's confidence in the answer, in [0, 1]
-     * @return true if it is
+     * @param best the version that answers otherwise
+     * @param confidence the cheap model's confidence in its answer, in [0, 1]
+     * @return true if the answer is to be used
      */
     public boolean accepts(
             final Profile profile,
             final VersionId cheap,
             final VersionId best,
             final double confidence) {
-        return RatingTable.bucket(confidence) >= lowest(profile, cheap, best);
+        return RatingTable.bucket(confidence) >= lowestAcceptedBucket(profile, cheap, best);
     }
 
-    private int lowest(final Profile profile, final VersionId cheap, final VersionId best) {
-        return table.lowestUsable(
+    private int lowestAcceptedBucket(
+            final Profile profile, final VersionId cheap, final VersionId best) {
+        return table.lowestUsableBucket(
                 profile.id(),
                 cheap,
                 table.expectedRating(profile.id(), best),
-                profile.quality() + MARGIN,
-                profile.quality() * FLOOR_SHARE,
-                LEAST_RATED);
+                profile.quality() + RATING_MARGIN,
+                profile.quality() * MIN_BUCKET_RATING_SHARE,
+                MIN_BUCKET_RATINGS);
     }
 }
--- a/fennelstage-core/src/main/java/org/fennelstage/cascade/RatingTable.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/cascade/RatingTable.java
@@ -7,31 +7,30 @@
 import org.fennelstage.id.VersionId;
 
 /**
- * How often a version's answers to a profile's requests pass, by the confidence that the engine
- * gave.
+ * Counts answers and sums their ratings per profile, version and confidence bucket.
  *
- * <p>Ratings come late and for a sample only. Answers of a cheap model are rated whether they were
- * used or not, since the rejected ones are the poorer: rated alone, the used ones would make the
- * model look better than it is. Thread-safe; one monitor guards the table.
+ * <p>Ratings arrive late and for a sample of the answers. Answers of the cheap version are rated
+ * whether or not they were used, because ratings of the used ones alone would overestimate it.
+ * Thread-safe; all methods synchronize on the table.
  */
 public final class RatingTable {
 
-    /** Confidence is divided into this many equal parts. */
+    /** The number of buckets of equal width that confidence is divided into. */
     public static final int BUCKETS = 10;
 
-    /** Before any rating an answer is expected to be half good. */
-    private static final double PRIOR_SUM = 0.5;
+    /** The prior, equal to one rating of one half, so that few ratings do not decide alone. */
+    private static final double PRIOR_RATING_SUM = 0.5;
 
-    private static final double PRIOR_RATED = 1;
+    private static final double PRIOR_RATING_COUNT = 1;
 
-    private final Map<Arm, Counts> counts = new HashMap<>();
+    private final Map<Key, Counts> counts = new HashMap<>();
 
-    private record Arm(ProfileId profile, VersionId version) {}
+    private record Key(ProfileId profile, VersionId version) {}
 
     private static final class Counts {
-        private final long[] rated = new long[BUCKETS];
-        private final double[] sum = new double[BUCKETS];
-        private final long[] seen = new long[BUCKETS];
+        private final long[] ratings = new long[BUCKETS];
+        private final double[] ratingSums = new double[BUCKETS];
+        private final long[] answers = new long[BUCKETS];
     }
 
     private RatingTable() {}
@@ -46,23 +45,23 @@
     }
 
     /**
-     * Notes an answer, rated or not.
+     * Records an answer, whether or not it will be rated.
      *
-     * @param profile the profile asked for
-     * @param version what answered
-     * @param confidence the engine's confidence, in [0, 1]
+     * @param profile the profile of the request
+     * @param version the version that answered
+     * @param confidence the model's confidence, in [0, 1]
      */
     public synchronized void recordAnswer(
             final ProfileId profile, final VersionId version, final double confidence) {
-        counts(profile, version).seen[bucket(confidence)]++;
+        counts(profile, version).answers[bucket(confidence)]++;
     }
 
     /**
-     * Notes a rating.
+     * Records the rating of an answer that {@link #recordAnswer} has counted.
      *
-     * @param profile the profile asked for
-     * @param version what answered
-     * @param confidence the engine's confidence, in [0, 1]
+     * @param profile the profile of the request
+     * @param version the version that answered
+     * @param confidence the model's confidence, in [0, 1]
      * @param rating the rating, in [0, 1]
      */
     public synchronized void recordRating(
@@ -70,70 +69,70 @@
             final VersionId version,
             final double confidence,
             final double rating) {
-        final Counts arm = counts(profile, version);
-        arm.rated[bucket(confidence)]++;
-        arm.sum[bucket(confidence)] += rating;
+        final Counts recorded = counts(profile, version);
+        recorded.ratings[bucket(confidence)]++;
+        recorded.ratingSums[bucket(confidence)] += rating;
     }
 
     /**
-     * Returns the expected rating of an answer.
+     * Returns the expected rating of a version's answers.
      *
-     * @param profile the profile asked for
-     * @param version what answers
-     * @return the expected rating, one half before any
+     * @param profile the profile of the requests
+     * @param version the version that answers
+     * @return the expected rating, in [0, 1]; one half without ratings
      */
     public synchronized double expectedRating(final ProfileId profile, final VersionId version) {
-        final Counts arm = counts(profile, version);
+        final Counts recorded = counts(profile, version);
         double sum = 0;
-        for (final double part : arm.sum) {
-            sum += part;
+        for (final double bucketSum : recorded.ratingSums) {
+            sum += bucketSum;
         }
-        return mean(sum, total(arm.rated));
+        return mean(sum, total(recorded.ratings));
     }
 
     /**
-     * Returns how many ratings there are.
+     * Returns the number of ratings of a version's answers.
      *
-     * @param profile the profile asked for
-     * @param version what answered
-     * @return the count
+     * @param profile the profile of the requests
+     * @param version the version that answered
+     * @return the number of ratings
      */
     public synchronized long ratingCount(final ProfileId profile, final VersionId version) {
-        return total(counts(profile, version).rated);
+        return total(counts(profile, version).ratings);
     }
 
     /**
-     * Finds how little confidence suffices: the lowest bucket such that, with the answers from it
-     * upwards used and all others replaced by those of a better version, the mean rating reaches a
-     * bound. Buckets with too few ratings are thought as good as the better version.
+     * Returns the lowest bucket such that the expected mean rating reaches {@code minMean} when
+     * answers from this bucket upwards are used and all others are replaced by answers of a better
+     * version. Buckets with too few ratings are assumed to be as good as the better version.
      *
-     * @param profile the profile asked for
-     * @param version what answers first
-     * @param better the expected rating of the better version
-     * @param least the bound
-     * @param floor the least expected rating of a bucket that is used; a good mean must not hide
-     *     answers that are far from good
-     * @param leastRated how many ratings a bucket needs
-     * @return the bucket, {@link #BUCKETS} if none suffices
+     * @param profile the profile of the requests
+     * @param version the version that answers first
+     * @param betterRating the expected rating of the better version
+     * @param minMean the mean rating to reach, in [0, 1]
+     * @param minBucketRating the minimum expected rating of each used bucket, in [0, 1]; keeps a
+     *     high mean from hiding poor answers
+     * @param minRatings the number of ratings that a bucket needs
+     * @return the bucket; {@link #BUCKETS} if no bucket suffices
      */
-    public synchronized int lowestUsable(
+    public synchronized int lowestUsableBucket(
             final ProfileId profile,
             final VersionId version,
-            final double better,
-            final double least,
-            final double floor,
-            final int leastRated) {
-        final Counts arm = counts(profile, version);
-        final long all = total(arm.seen);
-        double mean = better;
+            final double betterRating,
+            final double minMean,
+            final double minBucketRating,
+            final int minRatings) {
+        final Counts recorded = counts(profile, version);
+        final long all = total(recorded.answers);
+        double mean = betterRating;
         int lowest = BUCKETS;
         for (int i = BUCKETS - 1; i >= 0; i--) {
-            if (arm.rated[i] < leastRated) {
+            if (recorded.ratings[i] < minRatings) {
                 continue;
             }
-            final double expected = mean(arm.sum[i], arm.rated[i]);
-            mean += (double) arm.seen[i] / all * (expected - better);
-            if (mean < least || expected < floor) {
+            final double expected = mean(recorded.ratingSums[i], recorded.ratings[i]);
+            mean += (double) recorded.answers[i] / all * (expected - betterRating);
+            if (mean < minMean || expected < minBucketRating) {
                 break;
             }
             lowest = i;
@@ -142,31 +141,31 @@
     }
 
     /**
-     * Returns the share of answers in and above a bucket.
+     * Returns the share of answers in or above a bucket.
      *
-     * @param profile the profile asked for
-     * @param version what answers
-     * @param lowest the bucket
-     * @return the share, in [0, 1]; 0 before any answer
+     * @param profile the profile of the requests
+     * @param version the version that answers
+     * @param lowest the lowest bucket that counts
+     * @return the share, in [0, 1]; 0 without answers
      */
     public synchronized double shareFrom(
             final ProfileId profile, final VersionId version, final int lowest) {
-        final Counts arm = counts(profile, version);
-        long reached = 0;
+        final Counts recorded = counts(profile, version);
+        long counted = 0;
         for (int i = lowest; i < BUCKETS; i++) {
-            reached += arm.seen[i];
+            counted += recorded.answers[i];
         }
-        final long all = total(arm.seen);
-        return all == 0 ? 0 : (double) reached / all;
+        final long all = total(recorded.answers);
+        return all == 0 ? 0 : (double) counted / all;
     }
 
     private Counts counts(final ProfileId profile, final VersionId version) {
         Objects.requireNonNull(profile, "profile is null");
-        return counts.computeIfAbsent(new Arm(profile, version), a -> new Counts());
+        return counts.computeIfAbsent(new Key(profile, version), k -> new Counts());
     }
 
-    private static double mean(final double sum, final long rated) {
-        return (sum + PRIOR_SUM) / (rated + PRIOR_RATED);
+    private static double mean(final double ratingSum, final long ratingCount) {
+        return (ratingSum + PRIOR_RATING_SUM) / (ratingCount + PRIOR_RATING_COUNT);
     }
 
     private static long total(final long[] values) {
@@ -180,8 +179,8 @@
     /**
      * Returns the bucket of a confidence.
      *
-     * @param confidence the engine's confidence, in [0, 1]
-     * @return its bucket, from 0
+     * @param confidence the model's confidence, in [0, 1]
+     * @return the bucket, in [0, {@link #BUCKETS})
      */
     static int bucket(final double confidence) {
         return Math.max(0, Math.min(BUCKETS - 1, (int) (confidence * BUCKETS)));
--- a/fennelstage-core/src/main/java/org/fennelstage/cascade/package-info.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/cascade/package-info.java
@@ -1,2 +1,2 @@
-/** Whether a cheap model answers, an expensive one, or the one after the other. */
+/** Decides whether the cheap model, the best model, or both in sequence answer a request. */
 package org.fennelstage.cascade;
--- a/fennelstage-core/src/test/java/org/fennelstage/cascade/CascadePolicyTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/cascade/CascadePolicyTest.java
@@ -30,25 +30,25 @@
     private final CascadePolicy policy = CascadePolicy.of(table);
 
     @Test
-    void planLearnsThroughACascadeWhileNothingIsKnown() {
+    void planIsACascadeWithoutRatings() {
         assertThat(plan(10)).isEqualTo(CascadePolicy.Plan.CASCADE);
         assertThat(policy.accepts(PROFILE, SMALL, LARGE, 0.9)).isFalse();
     }
 
-    /** A late answer misses the print slot however cheap it was. */
+    /** A cascade that cannot finish before the deadline makes the response late. */
     @Test
-    void planTakesTheBestAtOnceWithoutTimeForBoth() {
+    void planIsTheBestVersionWithoutTimeForBothAnswers() {
         assertThat(plan(3.5)).isEqualTo(CascadePolicy.Plan.BEST);
     }
 
     @Test
-    void planTakesTheCheapOneOnceItIsGoodEnoughOnTheMean() {
+    void planIsTheCheapVersionOnceItsMeanRatingSuffices() {
         rate(SMALL, 0.7, 200, 0.75);
         assertThat(plan(1.5)).isEqualTo(CascadePolicy.Plan.CHEAP);
     }
 
     @Test
-    void acceptsAnswersFromTheConfidenceFromWhichTheMeanIsGoodEnough() {
+    void acceptsCheapAnswersOnlyFromTheConfidenceAtWhichTheMeanRatingSuffices() {
         rate(LARGE, 0.9, 100, 0.72);
         rate(SMALL, 0.85, 100, 0.8);
         rate(SMALL, 0.45, 100, 0.4);
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void planGivesTheCascadeUpWhereCheapAnswersAreSeldomUsed() {
+    void planIsTheBestVersionWhenCheapAnswersAreRarelyAccepted() {
         rate(SMALL, 0.35, 300, 0.3);
         assertThat(plan(10)).isEqualTo(CascadePolicy.Plan.BEST);
     }
