--- a/fennelstage-core/src/main/java/org/fennelstage/claim/Claim.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/claim/Claim.java
@@ -5,24 +5,25 @@
 import org.fennelstage.id.VmId;
 
 /**
- * The right of one attempt to run a request that must not run twice.
+ * The exclusive right of a request to run under its idempotency key.
  *
  * <p>Immutable and thread-safe.
  *
- * @param holder the request id of the attempt that holds the right; unique per attempt of a caller
- * @param vm the VM that runs it
- * @param state how far it got
- * @param atMillis when it was taken; milliseconds since the epoch
+ * @param holder the id of the request that made the claim; a caller's further request with the same
+ *     key has another id
+ * @param vm the VM that handles the request
+ * @param state the state of the claim
+ * @param atMillis when the holder requested this claim or change; milliseconds since the epoch
  */
 public record Claim(RequestId holder, VmId vm, State state, long atMillis) {
 
-    /** How far the holder got, as far as the store knows. */
+    /** The state of a claim in the store. */
     public enum State {
-        /** It may be running or have run. */
+        /** The request may be running or may have run. */
         HELD,
-        /** It ran to its end. */
+        /** The request ran to its end. */
         DONE,
-        /** It gave the right back without having run; the key is free again. */
+        /** The request did not run; another request may claim the key. */
         RELEASED
     }
 
@@ -33,9 +34,9 @@
     }
 
     /**
-     * Returns this claim in another state.
+     * Returns this claim with another state.
      *
-     * @param next the state
+     * @param next the new state
      * @return the claim
      */
     public Claim withState(final State next) {
--- a/fennelstage-core/src/main/java/org/fennelstage/claim/ClaimChange.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/claim/ClaimChange.java
@@ -3,10 +3,10 @@
 import java.util.Objects;
 
 /**
- * One step that a holder wants to make on a key. Immutable and thread-safe.
+ * A requested change of the claim on a key. Immutable and thread-safe.
  *
  * @param key team and idempotency key
- * @param claim the claim that is to stand afterwards
+ * @param claim the claim after the change
  */
 public record ClaimChange(String key, Claim claim) {
 
--- a/fennelstage-core/src/main/java/org/fennelstage/claim/ClaimLog.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/claim/ClaimLog.java
@@ -6,16 +6,17 @@
 import java.util.Optional;
 
 /**
- * What is known of one slot's claims: the sealed segments, cached, and the open one.
+ * The claims of one slot (a partition of the keys): a cache of the sealed segments and the open
+ * segment.
  *
- * <p>Laws: of several claims on a key the one in the latest segment counts; a claim that is held or
- * done is never replaced by another holder; claiming and settling are idempotent per holder, so a
- * writer that lost the answer to its update reads the open segment back and sees whether it took
- * effect. Two keepers of one slot are harmless: only one conditional update of the open segment
- * succeeds, and a new segment is begun only after the one before it was sealed.
+ * <p>Invariants: of several claims on a key, the one in the latest segment is valid; a claim that
+ * is held or done is never replaced by another holder; changes are idempotent per holder, so a
+ * writer that lost the response to its conditional write reads the open segment again to find out
+ * whether the write took effect. Concurrent writers of a slot are safe: only one conditional write
+ * of the open segment succeeds, and a new segment is opened only after its predecessor is sealed.
  *
- * <p>Immutable but for the cache of sealed claims, which is shared between successors; not
- * thread-safe.
+ * <p>Not thread-safe: the cache of sealed claims is mutable and shared with the logs that {@link
+ * #advance} returns.
  */
 public final class ClaimLog {
 
@@ -28,7 +29,7 @@
     }
 
     /**
-     * Returns the log of a slot that has no claims yet.
+     * Returns the log of a slot without claims.
      *
      * @return the log
      */
@@ -37,7 +38,7 @@
     }
 
     /**
-     * Returns the segment that takes changes.
+     * Returns the segment that accepts changes.
      *
      * @return the open segment
      */
@@ -46,11 +47,11 @@
     }
 
     /**
-     * Replaces the open segment by what was read from, or written to, the object API. If that is
-     * sealed its claims join the cache and an empty successor opens.
+     * Replaces the open segment by one that was read from or written to the store. The claims of a
+     * sealed segment are added to the cache, and an empty segment is opened after it.
      *
      * @param segment the segment
-     * @return the log after it
+     * @return the resulting log
      */
     public ClaimLog advance(final ClaimSegment segment) {
         Objects.requireNonNull(segment, "segment is null");
@@ -65,48 +66,48 @@
      * Returns the claim on a key.
      *
      * @param key team and idempotency key
-     * @return the latest claim, also if released
+     * @return the latest claim, including a released one; empty if there is none
      */
     public Optional<Claim> find(final String key) {
         return open.find(key).or(() -> Optional.ofNullable(sealed.get(key)));
     }
 
     /**
-     * Tells whether a change may be made now.
+     * Returns whether a change is permitted in the current state.
      *
      * @param change the change
-     * @return true if it may
+     * @return true if it is permitted
      */
     public boolean allows(final ClaimChange change) {
         final Claim wanted = change.claim();
-        final Optional<Claim> held = find(change.key());
-        if (held.isEmpty()) {
+        final Optional<Claim> latest = find(change.key());
+        if (latest.isEmpty()) {
             return wanted.state() != Claim.State.DONE;
         }
-        final boolean sameHolder = held.get().holder().equals(wanted.holder());
-        if (held.get().state() == Claim.State.RELEASED) {
-            // A holder that released has told its caller "not run". Its own late claim, still on
-            // the way when it gave up, must not take the key again: the caller's next attempt
-            // would be told that the outcome is unknown although nothing ran.
+        final boolean sameHolder = latest.get().holder().equals(wanted.holder());
+        if (latest.get().state() == Claim.State.RELEASED) {
+            // The caller of a holder that released was told "not run". A delayed claim of the same
+            // holder must not claim the key again: a later request with this key would get the
+            // outcome "unknown" although nothing ran.
             return wanted.state() == Claim.State.HELD && !sameHolder;
         }
-        return sameHolder && held.get().state() == Claim.State.HELD;
+        return sameHolder && latest.get().state() == Claim.State.HELD;
     }
 
     /**
-     * Tells whether a change has been made.
+     * Returns whether a change has taken effect.
      *
      * @param change the change
-     * @return true if the key's latest claim is the one wanted
+     * @return true if the key's latest claim equals the claim of the change
      */
     public boolean contains(final ClaimChange change) {
         return find(change.key()).filter(change.claim()::equals).isPresent();
     }
 
     /**
-     * Returns how many claims are held in memory.
+     * Returns the number of claims in memory.
      *
-     * @return the count
+     * @return the claims of the cache and of the open segment
      */
     public int size() {
         return sealed.size() + open.claims().size();
--- a/fennelstage-core/src/main/java/org/fennelstage/claim/ClaimSegment.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/claim/ClaimSegment.java
@@ -6,18 +6,18 @@
 import java.util.TreeMap;
 
 /**
- * One object of a slot's claim log: a bounded set of claims, changed only by conditional update.
+ * One object of a slot's claim log in the store, changed only by conditional writes.
  *
- * <p>Invariant: a sealed segment never changes again, so its content may be cached for ever.
- * Immutable and thread-safe.
+ * <p>Invariant: a sealed segment never changes, so it may be cached without expiry. Immutable and
+ * thread-safe.
  *
- * @param number its position in the slot's log, from 0
- * @param sealed whether later claims belong to the next segment
+ * @param number the index of the segment in the slot's log, from 0
+ * @param sealed whether the segment accepts no more changes
  * @param claims the claims by team and idempotency key
  */
 public record ClaimSegment(long number, boolean sealed, Map<String, Claim> claims) {
 
-    /** Bounds the object to about 20 KB, so that a conditional update stays cheap. */
+    /** The number of claims of a full segment; keeps the stored object at about 20 KB. */
     public static final int CAPACITY = 200;
 
     public ClaimSegment {
@@ -27,7 +27,7 @@
     /**
      * Returns an open segment without claims.
      *
-     * @param number its position
+     * @param number the index of the segment in the slot's log, from 0
      * @return the segment
      */
     public static ClaimSegment empty(final long number) {
@@ -38,16 +38,16 @@
      * Returns the claim on a key.
      *
      * @param key team and idempotency key
-     * @return the claim, also if released
+     * @return the claim, including a released one; empty if there is none
      */
     public Optional<Claim> find(final String key) {
         return Optional.ofNullable(claims.get(key));
     }
 
     /**
-     * Tells whether the segment ought to be sealed.
+     * Returns whether the segment has reached its capacity and is to be sealed.
      *
-     * @return true at capacity
+     * @return true at or above {@link #CAPACITY}
      */
     public boolean isFull() {
         return claims.size() >= CAPACITY;
@@ -57,12 +57,13 @@
      * Returns this segment with one claim set.
      *
      * @param change the key and its claim
-     * @return the larger segment
+     * @return the changed segment
+     * @throws IllegalStateException if this segment is sealed
      */
     public ClaimSegment with(final ClaimChange change) {
         Objects.requireNonNull(change, "change is null");
         if (sealed) {
-            throw new IllegalStateException("segment " + number + " is sealed");
+            throw new IllegalStateException("claim segment " + number + " is sealed");
         }
         final Map<String, Claim> next = new TreeMap<>(claims);
         next.put(change.key(), change.claim());
@@ -70,7 +71,7 @@
     }
 
     /**
-     * Returns this segment closed to changes.
+     * Returns this segment sealed.
      *
      * @return the sealed segment
      */
--- a/fennelstage-core/src/main/java/org/fennelstage/claim/package-info.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/claim/package-info.java
@@ -1,2 +1,2 @@
-/** The right to run a request that may not run twice. */
+/** Claims that keep a non-idempotent request from running twice. */
 package org.fennelstage.claim;
--- a/fennelstage-core/src/test/java/org/fennelstage/claim/ClaimLogTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/claim/ClaimLogTest.java
@@ -10,7 +10,7 @@
 class ClaimLogTest {
 
     @Test
-    void allowsTheFirstClaimAndNoSecondHolder() {
+    void allowsTheFirstHolderAndRejectsASecond() {
         final ClaimLog log = ClaimLog.empty();
         assertThat(log.allows(change("a", Claim.State.HELD))).isTrue();
         final ClaimLog held = log.advance(log.open().with(change("a", Claim.State.HELD)));
@@ -26,23 +26,23 @@
     }
 
     /**
-     * Symptom: a caller that was told "not run" is told "unknown" for ever after. Events: the VM
-     * gives up waiting and releases; its own claim, still on the way, arrives after the release.
+     * A claim that arrives after its own release would block the key: later requests would get the
+     * outcome "unknown" although nothing ran.
      */
     @Test
-    void refusesTheLateClaimOfAHolderThatReleased() {
+    void rejectsADelayedClaimOfAHolderThatReleased() {
         final ClaimLog released = withClaim(change("a", Claim.State.RELEASED));
         assertThat(released.allows(change("a", Claim.State.HELD))).isFalse();
     }
 
     @Test
-    void refusesToReleaseWhatRanToItsEnd() {
+    void rejectsTheReleaseOfADoneClaim() {
         final ClaimLog done = withClaim(change("a", Claim.State.DONE));
         assertThat(done.allows(change("a", Claim.State.RELEASED))).isFalse();
     }
 
     @Test
-    void findsClaimsOfSealedSegmentsAndPrefersLaterOnes() {
+    void findsClaimsOfSealedSegmentsAndPrefersLaterSegments() {
         final ClaimSegment first = ClaimSegment.empty(0).with(change("a", Claim.State.HELD)).seal();
         final ClaimLog log = ClaimLog.empty().advance(first);
         assertThat(log.open().number()).isEqualTo(1);
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void aSealedSegmentTakesNoClaim() {
+    void sealedSegmentRejectsChanges() {
         final ClaimSegment sealed = ClaimSegment.empty(0).seal();
         assertThatThrownBy(() -> sealed.with(change("a", Claim.State.HELD)))
                 .isInstanceOf(IllegalStateException.class);
