--- a/fennelstage-core/src/main/java/org/fennelstage/bill/Bill.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/bill/Bill.java
@@ -7,18 +7,18 @@
 import org.fennelstage.id.VersionId;
 
 /**
- * What one request costs its team.
+ * The cost of one request to its team.
  *
- * <p>Law: two bills of one request are the same bill; whoever reads bills counts each request id
- * once. Immutable and thread-safe.
+ * <p>Invariant: bills with the same request id are duplicates; readers count each id once.
+ * Immutable and thread-safe.
  *
- * @param request the request, the identity of the bill
- * @param team who pays
- * @param profile what was asked for
- * @param version what answered
- * @param tokens the generated tokens
+ * @param request the request, which identifies the bill
+ * @param team the team that pays
+ * @param profile the profile of the request
+ * @param version the version that answered
+ * @param tokens the number of generated tokens
  * @param cost the price in the operators' unit of account
- * @param atMillis when the answer ended; milliseconds since the epoch
+ * @param atMillis when the response ended; milliseconds since the epoch
  */
 public record Bill(
         RequestId request,
--- a/fennelstage-core/src/main/java/org/fennelstage/bill/BillSegment.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/bill/BillSegment.java
@@ -7,15 +7,16 @@
 import org.fennelstage.id.RequestId;
 
 /**
- * The bills kept in one object of the object API: a set keyed by request id with a bound.
+ * The bills that are stored in one object of the store.
  *
- * <p>Laws: adding is idempotent; a full segment takes nothing more. Immutable and thread-safe.
+ * <p>Invariants: adding is idempotent; adding keeps one bill per request id. The writer starts a
+ * new segment when this one is full. Immutable and thread-safe.
  *
- * @param bills the bills, each request once
+ * @param bills the bills, one per request
  */
 public record BillSegment(List<Bill> bills) {
 
-    /** Bounds the object's size to about 100 KB, so that one write stays cheap. */
+    /** The number of bills of a full segment; keeps the stored object at about 100 KB. */
     public static final int CAPACITY = 500;
 
     public BillSegment {
@@ -32,10 +33,10 @@
     }
 
     /**
-     * Adds bills, ignoring those of requests already in the segment.
+     * Returns this segment with further bills, without those of requests it already contains.
      *
-     * @param added the bills
-     * @return the larger segment
+     * @param added the bills to add
+     * @return the resulting segment
      */
     public BillSegment plus(final Collection<Bill> added) {
         final Map<RequestId, Bill> all = new LinkedHashMap<>();
@@ -45,9 +46,9 @@
     }
 
     /**
-     * Tells whether the segment takes no more bills.
+     * Returns whether the segment has reached its capacity.
      *
-     * @return true at capacity
+     * @return true at or above {@link #CAPACITY}
      */
     public boolean isFull() {
         return bills.size() >= CAPACITY;
--- a/fennelstage-core/src/main/java/org/fennelstage/bill/package-info.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/bill/package-info.java
@@ -1,2 +1,2 @@
-/** What requests cost, and the sets in which bills are kept. */
+/** Bills of requests and the segments in which they are stored. */
 package org.fennelstage.bill;
