--- a/fennelstage-core/src/main/java/org/fennelstage/outcome/Outcome.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/outcome/Outcome.java
@@ -5,21 +5,22 @@
 import java.util.Optional;
 
 /**
- * The end of a request as its caller is told: exactly one of four kinds.
+ * The outcome of a request as reported to its caller: exactly one of four kinds.
  *
- * <p>Laws: {@link NotRun} is used only if no byte of the request reached a backend server and none
- * will; {@link Unknown} whenever a byte may have. Immutable and thread-safe.
+ * <p>Invariants: {@link NotRun} is used only if no byte of the request reached a backend server and
+ * none will; {@link Unknown} is used if a byte may have reached one and the result is not known.
+ * Immutable and thread-safe.
  */
 public sealed interface Outcome {
 
     /**
-     * Returns the stable name of this kind, as found in response bodies, bills and logs.
+     * Returns the stable name of this kind, as used in responses, logs and metrics.
      *
      * @return the name
      */
     String kind();
 
-    /** The whole answer was delivered. */
+    /** The complete response was delivered. */
     record Complete() implements Outcome {
         @Override
         public String kind() {
@@ -28,11 +29,12 @@
     }
 
     /**
-     * The request did not run and never will under this attempt.
+     * The request was rejected: it did not run and will not run.
      *
-     * @param reason why
-     * @param detail text for a person
-     * @param retryAfter when a new attempt makes sense; empty if it never does unchanged
+     * @param reason the reason for the rejection
+     * @param detail human-readable explanation
+     * @param retryAfter the delay after which the caller may send the request again; empty if the
+     *     unchanged request would be rejected again
      */
     record NotRun(Reason reason, String detail, Optional<Duration> retryAfter) implements Outcome {
         public NotRun {
@@ -48,9 +50,9 @@
     }
 
     /**
-     * The request may have run; nobody can tell.
+     * It is not known whether the request ran.
      *
-     * @param detail text for a person
+     * @param detail human-readable explanation
      */
     record Unknown(String detail) implements Outcome {
         public Unknown {
@@ -64,9 +66,9 @@
     }
 
     /**
-     * The request ran and did not end in a whole answer for this caller.
+     * The request ran, but its caller did not get a complete response.
      *
-     * @param detail text for a person
+     * @param detail human-readable explanation
      */
     record FailedAfterRun(String detail) implements Outcome {
         public FailedAfterRun {
@@ -80,10 +82,10 @@
     }
 
     /**
-     * A refusal without advice on when to come back.
+     * Returns a rejection that does not advise to send the request again.
      *
-     * @param reason why
-     * @param detail text for a person
+     * @param reason the reason for the rejection
+     * @param detail human-readable explanation
      * @return the outcome
      */
     static NotRun notRun(final Reason reason, final String detail) {
@@ -91,11 +93,11 @@
     }
 
     /**
-     * A refusal that tells when to come back.
+     * Returns a rejection that advises to send the request again after a delay.
      *
-     * @param reason why
-     * @param detail text for a person
-     * @param retryAfter when a new attempt makes sense
+     * @param reason the reason for the rejection
+     * @param detail human-readable explanation
+     * @param retryAfter the delay after which the caller may send the request again
      * @return the outcome
      */
     static NotRun notRun(final Reason reason, final String detail, final Duration retryAfter) {
--- a/fennelstage-core/src/main/java/org/fennelstage/outcome/Reason.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/outcome/Reason.java
@@ -1,6 +1,6 @@
 package org.fennelstage.outcome;
 
-/** Why a request was refused. Each maps to one HTTP status. Immutable and thread-safe. */
+/** The reason for a rejection, with its HTTP status. Immutable and thread-safe. */
 public enum Reason {
     MALFORMED(400),
     UNAUTHENTICATED(401),
@@ -33,7 +33,7 @@
     }
 
     /**
-     * Returns the stable lower-case name for response bodies.
+     * Returns the stable lower-case name, as used in response bodies.
      *
      * @return the name
      */
--- a/fennelstage-core/src/main/java/org/fennelstage/outcome/package-info.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/outcome/package-info.java
@@ -1,2 +1,2 @@
-/** How a request ends. */
+/** Outcomes of requests as reported to callers. */
 package org.fennelstage.outcome;
