--- a/fennelstage-core/src/main/java/org/fennelstage/id/BackendServerId.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/id/BackendServerId.java
@@ -3,11 +3,11 @@
 import java.util.Objects;
 
 /**
- * Identifies a worker of a model engine or of a plain service.
+ * Identifies a backend server.
  *
- * <p>Invariant: the value is a valid name in the sense of {@link Names}. Immutable and thread-safe.
+ * <p>Invariant: the value is valid according to {@link Names}. Immutable and thread-safe.
  *
- * @param value the name
+ * @param value the text of the id
  */
 public record BackendServerId(String value) implements Comparable<BackendServerId> {
 
@@ -17,11 +17,11 @@
     }
 
     /**
-     * Returns the id with this name.
+     * Returns the id with a text.
      *
-     * @param value the name
+     * @param value the text
      * @return the id
-     * @throws IllegalArgumentException if the value is not a valid name
+     * @throws IllegalArgumentException if the text is not valid
      */
     public static BackendServerId of(final String value) {
         return new BackendServerId(value);
--- a/fennelstage-core/src/main/java/org/fennelstage/id/ModelId.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/id/ModelId.java
@@ -3,11 +3,11 @@
 import java.util.Objects;
 
 /**
- * Identifies a model, of which there are versions.
+ * Identifies a model; a model has one or more versions.
  *
- * <p>Invariant: the value is a valid name in the sense of {@link Names}. Immutable and thread-safe.
+ * <p>Invariant: the value is valid according to {@link Names}. Immutable and thread-safe.
  *
- * @param value the name
+ * @param value the text of the id
  */
 public record ModelId(String value) implements Comparable<ModelId> {
 
@@ -17,11 +17,11 @@
     }
 
     /**
-     * Returns the id with this name.
+     * Returns the id with a text.
      *
-     * @param value the name
+     * @param value the text
      * @return the id
-     * @throws IllegalArgumentException if the value is not a valid name
+     * @throws IllegalArgumentException if the text is not valid
      */
     public static ModelId of(final String value) {
         return new ModelId(value);
--- a/fennelstage-core/src/main/java/org/fennelstage/id/Names.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/id/Names.java
@@ -2,7 +2,10 @@
 
 import java.util.regex.Pattern;
 
-/** The rule for names of every kind. Stateless and thread-safe. */
+/**
+ * Validates the text of identifiers: ASCII letters, digits, '.', '_' and '-', with a letter or
+ * digit first, and a bounded length. Stateless and thread-safe.
+ */
 final class Names {
 
     private static final int MAX_LENGTH = 96;
@@ -17,8 +20,10 @@
                             + kind
                             + " '"
                             + value
-                            + "': allowed are letters, digits, '.', '_' and '-', at most "
-                            + MAX_LENGTH);
+                            + "': must consist of letters, digits, '.', '_' and '-', start with a"
+                            + " letter or digit and not be longer than "
+                            + MAX_LENGTH
+                            + " characters");
         }
     }
 }
--- a/fennelstage-core/src/main/java/org/fennelstage/id/RequestId.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/id/RequestId.java
@@ -3,11 +3,11 @@
 import java.util.Objects;
 
 /**
- * Identifies one request of a caller over all its attempts.
+ * Identifies one request of a caller across all its attempts.
  *
- * <p>Invariant: the value is a valid name in the sense of {@link Names}. Immutable and thread-safe.
+ * <p>Invariant: the value is valid according to {@link Names}. Immutable and thread-safe.
  *
- * @param value the name
+ * @param value the text of the id
  */
 public record RequestId(String value) implements Comparable<RequestId> {
 
@@ -17,11 +17,11 @@
     }
 
     /**
-     * Returns the id with this name.
+     * Returns the id with a text.
      *
-     * @param value the name
+     * @param value the text
      * @return the id
-     * @throws IllegalArgumentException if the value is not a valid name
+     * @throws IllegalArgumentException if the text is not valid
      */
     public static RequestId of(final String value) {
         return new RequestId(value);
--- a/fennelstage-core/src/main/java/org/fennelstage/id/RolloutId.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/id/RolloutId.java
@@ -3,25 +3,25 @@
 import java.util.Objects;
 
 /**
- * Identifies one roll-out of a model version.
+ * Identifies one rollout of a model version.
  *
- * <p>Invariant: the value is a valid name in the sense of {@link Names}. Immutable and thread-safe.
+ * <p>Invariant: the value is valid according to {@link Names}. Immutable and thread-safe.
  *
- * @param value the name
+ * @param value the text of the id
  */
 public record RolloutId(String value) implements Comparable<RolloutId> {
 
     public RolloutId {
         Objects.requireNonNull(value, "value is null");
-        Names.check("roll-out", value);
+        Names.check("rollout", value);
     }
 
     /**
-     * Returns the id with this name.
+     * Returns the id with a text.
      *
-     * @param value the name
+     * @param value the text
      * @return the id
-     * @throws IllegalArgumentException if the value is not a valid name
+     * @throws IllegalArgumentException if the text is not valid
      */
     public static RolloutId of(final String value) {
         return new RolloutId(value);
--- a/fennelstage-core/src/main/java/org/fennelstage/id/ServiceName.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/id/ServiceName.java
@@ -3,11 +3,11 @@
 import java.util.Objects;
 
 /**
- * Names a plain service that stands beside the model engines.
+ * Identifies a service that backend servers provide.
  *
- * <p>Invariant: the value is a valid name in the sense of {@link Names}. Immutable and thread-safe.
+ * <p>Invariant: the value is valid according to {@link Names}. Immutable and thread-safe.
  *
- * @param value the name
+ * @param value the text of the name
  */
 public record ServiceName(String value) implements Comparable<ServiceName> {
 
@@ -17,11 +17,11 @@
     }
 
     /**
-     * Returns the id with this name.
+     * Returns the name with a text.
      *
-     * @param value the name
-     * @return the id
-     * @throws IllegalArgumentException if the value is not a valid name
+     * @param value the text
+     * @return the name
+     * @throws IllegalArgumentException if the text is not valid
      */
     public static ServiceName of(final String value) {
         return new ServiceName(value);
--- a/fennelstage-core/src/main/java/org/fennelstage/id/SessionId.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/id/SessionId.java
@@ -5,9 +5,9 @@
 /**
  * Identifies a session: a sequence of requests that stays on one version.
  *
- * <p>Invariant: the value is a valid name in the sense of {@link Names}. Immutable and thread-safe.
+ * <p>Invariant: the value is valid according to {@link Names}. Immutable and thread-safe.
  *
- * @param value the name
+ * @param value the text of the id
  */
 public record SessionId(String value) implements Comparable<SessionId> {
 
@@ -17,11 +17,11 @@
     }
 
     /**
-     * Returns the id with this name.
+     * Returns the id with a text.
      *
-     * @param value the name
+     * @param value the text
      * @return the id
-     * @throws IllegalArgumentException if the value is not a valid name
+     * @throws IllegalArgumentException if the text is not valid
      */
     public static SessionId of(final String value) {
         return new SessionId(value);
--- a/fennelstage-core/src/main/java/org/fennelstage/id/TeamId.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/id/TeamId.java
@@ -5,9 +5,9 @@
 /**
  * Identifies a team, the unit of authorisation, limits and billing.
  *
- * <p>Invariant: the value is a valid name in the sense of {@link Names}. Immutable and thread-safe.
+ * <p>Invariant: the value is valid according to {@link Names}. Immutable and thread-safe.
  *
- * @param value the name
+ * @param value the text of the id
  */
 public record TeamId(String value) implements Comparable<TeamId> {
 
@@ -17,11 +17,11 @@
     }
 
     /**
-     * Returns the id with this name.
+     * Returns the id with a text.
      *
-     * @param value the name
+     * @param value the text
      * @return the id
-     * @throws IllegalArgumentException if the value is not a valid name
+     * @throws IllegalArgumentException if the text is not valid
      */
     public static TeamId of(final String value) {
         return new TeamId(value);
--- a/fennelstage-core/src/main/java/org/fennelstage/id/VersionId.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/id/VersionId.java
@@ -5,10 +5,10 @@
 /**
  * Identifies one version of a model; written {@code model@version}.
  *
- * <p>Law: {@code VersionId.parse(v.toString()).equals(v)}. Immutable and thread-safe.
+ * <p>Invariant: {@code VersionId.parse(v.toString()).equals(v)}. Immutable and thread-safe.
  *
  * @param model the model
- * @param version the version's name within the model
+ * @param version the name of the version within the model
  */
 public record VersionId(ModelId model, String version) implements Comparable<VersionId> {
 
@@ -37,7 +37,7 @@
      *
      * @param text the text
      * @return the id
-     * @throws IllegalArgumentException if the text has another form
+     * @throws IllegalArgumentException if the text has another form or contains an invalid name
      */
     public static VersionId parse(final String text) {
         final int at = text.indexOf(SEPARATOR);
--- a/fennelstage-core/src/main/java/org/fennelstage/id/VmId.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/id/VmId.java
@@ -3,11 +3,11 @@
 import java.util.Objects;
 
 /**
- * Identifies an entry VM.
+ * Identifies a VM.
  *
- * <p>Invariant: the value is a valid name in the sense of {@link Names}. Immutable and thread-safe.
+ * <p>Invariant: the value is valid according to {@link Names}. Immutable and thread-safe.
  *
- * @param value the name
+ * @param value the text of the id
  */
 public record VmId(String value) implements Comparable<VmId> {
 
@@ -17,11 +17,11 @@
     }
 
     /**
-     * Returns the id with this name.
+     * Returns the id with a text.
      *
-     * @param value the name
+     * @param value the text
      * @return the id
-     * @throws IllegalArgumentException if the value is not a valid name
+     * @throws IllegalArgumentException if the text is not valid
      */
     public static VmId of(final String value) {
         return new VmId(value);
--- a/fennelstage-core/src/main/java/org/fennelstage/id/package-info.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/id/package-info.java
@@ -1,2 +1,2 @@
-/** Value types for names. */
+/** Typed identifiers. */
 package org.fennelstage.id;
