--- a/fennelstage-core/src/main/java/org/fennelstage/policy/Mechanism.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/policy/Mechanism.java
@@ -5,41 +5,41 @@
 import java.util.Optional;
 import java.util.stream.Collectors;
 
-/** A mechanism that can be switched off, so that its worth can be measured by anyone. */
+/** A routing mechanism that can be disabled to measure its effect. Immutable and thread-safe. */
 public enum Mechanism {
-    /** VMs tell each other what they have at the workers, and place by it. */
+    /** VMs report their load on each backend server to peers, and placement considers it. */
     LOAD_REPORTS,
-    /** Requests that share a part of their prompt go to the same worker. */
+    /** Requests prefer backend servers whose prompt cache holds a part of their prompt. */
     MEMORY_AFFINITY,
-    /** The smallest model is asked first. */
+    /** Requests go to the smallest model first. */
     SMALL_FIRST,
-    /** A middle model is asked where it will likely do. */
+    /** Models between the smallest and the largest are used where they are likely to suffice. */
     MIDDLE_MODELS,
-    /** A request that no worker can begin in time is refused at once. */
+    /** Requests that no backend server can start in time are rejected immediately. */
     EARLY_REFUSAL,
-    /** Answers of a worker that stop together speak for all requests there. */
+    /** A backend server whose responses all stall together is treated as unresponsive early. */
     STALL_WATCH,
-    /** VMs tell each other which workers they could not reach. */
+    /** VMs report backend servers that they could not reach to their peers. */
     PEER_NEWS,
-    /** One VM of a data centre asks the store for all. */
+    /** One VM per data centre calls the store for its peers. */
     SHARED_CALLS,
-    /** Workers are told how urgent a request is. */
+    /** Requests to backend servers carry their priority. */
     URGENCY;
 
     /**
      * Returns the name on the command line.
      *
-     * @return lower case, with hyphens
+     * @return the name in lower case, with hyphens
      */
     public String option() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
     /**
-     * Finds a mechanism.
+     * Finds a mechanism by its name on the command line.
      *
-     * @param option its name on the command line
-     * @return the mechanism, empty if there is none of this name
+     * @param option the name on the command line
+     * @return the mechanism; empty if the name is unknown
      */
     public static Optional<Mechanism> find(final String option) {
         return Arrays.stream(values()).filter(m -> m.option().equals(option)).findFirst();
@@ -48,7 +48,7 @@
     /**
      * Returns all names on the command line.
      *
-     * @return the names, with commas between them
+     * @return the names, separated by commas
      */
     public static String options() {
         return Arrays.stream(values()).map(Mechanism::option).collect(Collectors.joining(","));
--- a/fennelstage-core/src/main/java/org/fennelstage/policy/Policy.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/policy/Policy.java
@@ -6,23 +6,23 @@
 import java.util.Set;
 
 /**
- * The mechanisms in use.
+ * The set of enabled mechanisms.
  *
- * <p>Law: {@code Policy.all().without(m).uses(m)} is false, for every other mechanism it is true.
+ * <p>Invariant: {@code Policy.all().without(List.of(m))} uses every mechanism except {@code m}.
  * Immutable and thread-safe.
  */
 public final class Policy {
 
     private static final Policy ALL = new Policy(EnumSet.noneOf(Mechanism.class));
 
-    private final Set<Mechanism> off;
+    private final Set<Mechanism> disabled;
 
-    private Policy(final Set<Mechanism> off) {
-        this.off = off;
+    private Policy(final Set<Mechanism> disabled) {
+        this.disabled = disabled;
     }
 
     /**
-     * Returns the policy that uses every mechanism.
+     * Returns the policy with every mechanism enabled.
      *
      * @return the policy
      */
@@ -31,39 +31,39 @@
     }
 
     /**
-     * Returns this policy with some mechanisms switched off.
+     * Returns this policy with further mechanisms disabled.
      *
-     * @param mechanisms the mechanisms
+     * @param mechanisms the mechanisms to disable
      * @return the policy
      */
     public Policy without(final Collection<Mechanism> mechanisms) {
-        final EnumSet<Mechanism> more = EnumSet.copyOf(off);
-        more.addAll(mechanisms);
-        return new Policy(more);
+        final EnumSet<Mechanism> allDisabled = EnumSet.copyOf(disabled);
+        allDisabled.addAll(mechanisms);
+        return new Policy(allDisabled);
     }
 
     /**
-     * Tells whether a mechanism is in use.
+     * Returns whether a mechanism is enabled.
      *
      * @param mechanism the mechanism
-     * @return false if it is switched off
+     * @return false if it is disabled
      */
     public boolean uses(final Mechanism mechanism) {
-        return !off.contains(Objects.requireNonNull(mechanism, "mechanism is null"));
+        return !disabled.contains(Objects.requireNonNull(mechanism, "mechanism is null"));
     }
 
     @Override
     public boolean equals(final Object other) {
-        return other instanceof Policy policy && policy.off.equals(off);
+        return other instanceof Policy policy && policy.disabled.equals(disabled);
     }
 
     @Override
     public int hashCode() {
-        return off.hashCode();
+        return disabled.hashCode();
     }
 
     @Override
     public String toString() {
-        return off.isEmpty() ? "Policy[all]" : "Policy[all but " + off + "]";
+        return disabled.isEmpty() ? "Policy[all]" : "Policy[all except " + disabled + "]";
     }
 }
--- a/fennelstage-core/src/main/java/org/fennelstage/policy/package-info.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/policy/package-info.java
@@ -1,2 +1,2 @@
-/** Which mechanisms of deciding are in use: all, unless one is switched off to see its worth. */
+/** Routing mechanisms that can be disabled individually for measurements. */
 package org.fennelstage.policy;
--- a/fennelstage-core/src/test/java/org/fennelstage/policy/PolicyTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/policy/PolicyTest.java
@@ -8,17 +8,17 @@
 class PolicyTest {
 
     @Test
-    void everyMechanismIsInUseUnlessItIsSwitchedOff() {
-        for (final Mechanism off : Mechanism.values()) {
-            final Policy policy = Policy.all().without(List.of(off));
+    void everyMechanismIsEnabledUnlessItIsDisabled() {
+        for (final Mechanism disabled : Mechanism.values()) {
+            final Policy policy = Policy.all().without(List.of(disabled));
             for (final Mechanism mechanism : Mechanism.values()) {
-                assertThat(policy.uses(mechanism)).isEqualTo(mechanism != off);
+                assertThat(policy.uses(mechanism)).isEqualTo(mechanism != disabled);
             }
         }
     }
 
     @Test
-    void everyMechanismIsFoundByItsNameOnTheCommandLine() {
+    void findReturnsEveryMechanismByItsCommandLineName() {
         for (final Mechanism mechanism : Mechanism.values()) {
             assertThat(Mechanism.find(mechanism.option())).contains(mechanism);
         }
