--- a/fennelstage-core/src/main/java/org/fennelstage/profile/Profile.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/profile/Profile.java
@@ -7,18 +7,18 @@
 import org.fennelstage.id.ProfileId;
 
 /**
- * A promise of answer quality, cost and speed that callers choose instead of a model.
+ * Objectives for quality, cost and latency that callers select instead of a model.
  *
- * <p>Invariants: at least one model; quality in [0, 1]; durations positive. Immutable and
- * thread-safe.
+ * <p>Invariants: at least one model; quality in [0, 1]; the objective for the first token is not
+ * negative; the deadline is positive; at least one token. Immutable and thread-safe.
  *
- * @param id the name callers use
- * @param models the models that may answer, cheapest first
- * @param quality the least mean rating to be reached, in [0, 1]
- * @param firstToken the objective for the time to the first token
- * @param deadline the longest useful time to the whole answer
+ * @param id the name that callers use
+ * @param models the models that may answer, from the cheapest to the best
+ * @param quality the minimum mean rating of the answers, in [0, 1]
+ * @param firstToken the latency objective for the first token
+ * @param deadline the maximum time to the complete response
  * @param idempotent whether a request may run more than once
- * @param maxTokens the bound on generated tokens
+ * @param maxTokens the maximum number of generated tokens
  */
 public record Profile(
         ProfileId id,
@@ -29,8 +29,8 @@
         boolean idempotent,
         int maxTokens) {
 
-    /** The share of the promised rating below which a single answer is poor. */
-    private static final double POOR_SHARE = 0.75;
+    /** The share of the promised mean rating below which a single answer is poor. */
+    private static final double POOR_RATING_SHARE = 0.75;
 
     public Profile {
         Objects.requireNonNull(id, "id is null");
@@ -38,32 +38,36 @@
         Objects.requireNonNull(deadline, "deadline is null");
         models = List.copyOf(models);
         if (models.isEmpty()) {
-            throw new IllegalArgumentException("profile " + id + " names no model");
+            throw new IllegalArgumentException("profile " + id + " has no models");
         }
         if (!(quality >= 0 && quality <= 1)) {
-            throw new IllegalArgumentException("profile " + id + ": quality outside [0, 1]");
+            throw new IllegalArgumentException(
+                    "profile " + id + ": quality " + quality + " is outside [0, 1]");
         }
         if (firstToken.isNegative() || deadline.isNegative() || deadline.isZero()) {
-            throw new IllegalArgumentException("profile " + id + ": durations must be positive");
+            throw new IllegalArgumentException(
+                    "profile "
+                            + id
+                            + ": firstToken must not be negative and deadline must be positive");
         }
         if (maxTokens < 1) {
-            throw new IllegalArgumentException("profile " + id + ": max tokens below 1");
+            throw new IllegalArgumentException("profile " + id + ": maxTokens must be at least 1");
         }
     }
 
     /**
-     * Tells whether a single answer is poor. The promise is a mean, so many good answers lie a
-     * little below it; a version is judged by those that lie far below.
+     * Returns whether the rating of a single answer is poor. The promised rating is a mean, so
+     * acceptable answers may lie slightly below it; only ratings far below it are poor.
      *
      * @param rating the rating, in [0, 1]
-     * @return true if it is
+     * @return true if the rating is poor
      */
     public boolean isPoor(final double rating) {
-        return rating < quality * POOR_SHARE;
+        return rating < quality * POOR_RATING_SHARE;
     }
 
     /**
-     * Returns the model that costs least.
+     * Returns the model with the lowest cost.
      *
      * @return the first model
      */
@@ -72,7 +76,7 @@
     }
 
     /**
-     * Returns the model that answers best.
+     * Returns the model with the best answers.
      *
      * @return the last model
      */
--- a/fennelstage-core/src/main/java/org/fennelstage/profile/package-info.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/profile/package-info.java
@@ -1,2 +1,2 @@
-/** Promises of quality, cost and speed. */
+/** Profiles: objectives for quality, cost and latency that callers select. */
 package org.fennelstage.profile;
