--- a/fennelstage-core/src/main/java/org/fennelstage/request/RequestIds.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/request/RequestIds.java
@@ -6,9 +6,10 @@
 import org.fennelstage.id.VmId;
 
 /**
- * Makes request ids that no other VM and no other incarnation of this VM makes. Thread-safe.
+ * Generates request ids that are unique across VMs and their incarnations. Thread-safe.
  *
- * <p>Bills and claims are keyed by them, so two requests with one id would be billed as one.
+ * <p>Bills and claim holders are identified by these ids, so two requests with equal ids would be
+ * treated as one.
  */
 public final class RequestIds {
 
@@ -22,11 +23,11 @@
     }
 
     /**
-     * Returns the ids of one incarnation of a VM.
+     * Returns the generator for one incarnation of a VM.
      *
      * @param vm the VM
-     * @param incarnation its start in milliseconds since the epoch
-     * @return the ids
+     * @param incarnation the start of the VM's process; milliseconds since the epoch
+     * @return the generator
      */
     public static RequestIds of(final VmId vm, final long incarnation) {
         Objects.requireNonNull(vm, "vm is null");
@@ -34,7 +35,7 @@
     }
 
     /**
-     * Makes the next id.
+     * Returns a new id.
      *
      * @return the id
      */
--- a/fennelstage-core/src/main/java/org/fennelstage/request/RetryBudget.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/request/RetryBudget.java
@@ -1,10 +1,10 @@
 package org.fennelstage.request;
 
 /**
- * Bounds retries by a share of first attempts, so that a pool that fails is not given more work the
- * more it fails.
+ * Limits retries to a share of first attempts, so that retries do not overload failing backend
+ * servers.
  *
- * <p>Invariant: over any sequence, retries are at most {@code reserve + share * attempts}.
+ * <p>Invariant: the number of retries never exceeds {@code reserve + share * firstAttempts}.
  * Thread-safe.
  */
 public final class RetryBudget {
@@ -22,23 +22,23 @@
     /**
      * Returns a full budget.
      *
-     * @param share retries per first attempt in the long run
-     * @param reserve retries at once
+     * @param share the retries per first attempt in the long run
+     * @param reserve the maximum number of retries in a burst
      * @return the budget
      */
     public static RetryBudget of(final double share, final double reserve) {
         return new RetryBudget(share, reserve);
     }
 
-    /** Notes a first attempt. */
+    /** Records the first attempt of a request, which adds to the budget. */
     public synchronized void onFirstAttempt() {
         available = Math.min(reserve, available + share);
     }
 
     /**
-     * Takes one retry out of the budget.
+     * Takes one retry from the budget.
      *
-     * @return true if it may be made
+     * @return true if the retry is permitted
      */
     public synchronized boolean tryRetry() {
         if (available < 1) {
--- a/fennelstage-core/src/main/java/org/fennelstage/request/package-info.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/request/package-info.java
@@ -1,2 +1,2 @@
-/** Ids and retries of requests. */
+/** Request ids and the retry budget. */
 package org.fennelstage.request;
--- a/fennelstage-core/src/test/java/org/fennelstage/request/RetryBudgetTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/request/RetryBudgetTest.java
@@ -9,21 +9,21 @@
 
 class RetryBudgetTest {
 
-    /** A pool that fails must not get more work the more it fails. */
+    /** Without the limit, retries would multiply the load on failing backend servers. */
     @Property(seed = "51", tries = 200)
-    void retriesStayWithinReserveAndShareOfAttempts(
+    void retriesNeverExceedReservePlusShareOfFirstAttempts(
             @ForAll @Size(max = 300) final List<Boolean> events) {
         final RetryBudget budget = RetryBudget.of(0.1, 3);
-        int attempts = 0;
+        int firstAttempts = 0;
         int retries = 0;
-        for (final boolean isAttempt : events) {
-            if (isAttempt) {
-                attempts++;
+        for (final boolean isFirstAttempt : events) {
+            if (isFirstAttempt) {
+                firstAttempts++;
                 budget.onFirstAttempt();
             } else if (budget.tryRetry()) {
                 retries++;
             }
-            assertThat((double) retries).isLessThanOrEqualTo(3 + 0.1 * attempts + 1e-9);
+            assertThat((double) retries).isLessThanOrEqualTo(3 + 0.1 * firstAttempts + 1e-9);
         }
     }
 }
