--- a/fennelstage-core/src/main/java/org/fennelstage/team/KeyHash.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/team/KeyHash.java
@@ -7,12 +7,12 @@
 import java.util.Objects;
 
 /**
- * The salted SHA-256 hash of a bearer key; the key itself is stored nowhere.
+ * The salted SHA-256 hash of a bearer key; the key itself is not stored.
  *
- * <p>Keys are random, not chosen by people, so one round suffices. Immutable and thread-safe.
+ * <p>Keys are random, so a single round of hashing suffices. Immutable and thread-safe.
  *
  * @param salt the salt
- * @param hash the hash of salt and key in lower-case hexadecimal
+ * @param hash the hash of salt and key; lower-case hexadecimal
  */
 public record KeyHash(String salt, String hash) {
 
@@ -33,7 +33,7 @@
     }
 
     /**
-     * Tells whether a key has this hash, in time that does not depend on where they differ.
+     * Returns whether a key has this hash; compares in constant time.
      *
      * @param key the key
      * @return true if it matches
@@ -51,7 +51,7 @@
             sha.update((byte) 0);
             return HexFormat.of().formatHex(sha.digest(key.getBytes(StandardCharsets.UTF_8)));
         } catch (final NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform has SHA-256", e);
+            throw new IllegalStateException("SHA-256 is not available", e);
         }
     }
 }
--- a/fennelstage-core/src/main/java/org/fennelstage/team/Team.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/team/Team.java
@@ -7,17 +7,18 @@
 import org.fennelstage.id.TeamId;
 
 /**
- * A customer's team: its key, what it may use, and its limits over the whole fleet.
+ * A team with its key, permissions and limits.
  *
- * <p>Immutable and thread-safe.
+ * <p>Invariant: the limits are positive. Immutable and thread-safe.
  *
  * @param id the team
  * @param key the salted hash of its bearer key
- * @param profiles the profiles it may name
+ * @param profiles the profiles it may use
  * @param models the models its requests may run on
- * @param requestsPerSecond the limit over all VMs; requests per second
- * @param concurrency the most requests in flight per VM
- * @param explain whether answers tell it where they came from
+ * @param requestsPerSecond the maximum request rate over all VMs; requests per second
+ * @param concurrency the maximum number of requests in flight per VM
+ * @param explain whether responses name the version, the backend server and the reason for the
+ *     choice
  */
 public record Team(
         TeamId id,
--- a/fennelstage-core/src/main/java/org/fennelstage/team/package-info.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/team/package-info.java
@@ -1,2 +1,2 @@
-/** Teams, their keys and limits. */
+/** Teams with their keys, permissions and limits. */
 package org.fennelstage.team;
