--- a/fennelstage-core/src/main/java/org/fennelstage/time/MonotonicClock.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/time/MonotonicClock.java
@@ -1,18 +1,17 @@
 package org.fennelstage.time;
 
 /**
- * A clock for durations and deadlines.
+ * A clock for durations and deadlines, unaffected by adjustments of the time of day.
  *
- * <p>The time of day may be set back or forward while a request waits; a deadline kept in it would
- * then pass at once or never. Law: readings never decrease. Implementations are thread-safe.
+ * <p>Invariant: readings never decrease. Implementations are thread-safe.
  */
 @FunctionalInterface
 public interface MonotonicClock {
 
     /**
-     * Returns the time since some fixed moment.
+     * Returns the time since an arbitrary fixed origin.
      *
-     * @return milliseconds
+     * @return the time; milliseconds
      */
     long millis();
 }
--- a/fennelstage-core/src/main/java/org/fennelstage/time/package-info.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/time/package-info.java
@@ -1,2 +1,2 @@
-/** Clocks that are passed in. */
+/** Injectable clocks. */
 package org.fennelstage.time;
