--- a/fennelstage-core/src/test/java/org/fennelstage/ArchitectureTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/ArchitectureTest.java
@@ -8,12 +8,12 @@
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
 
-/** The core decides and does nothing else. */
+/** The core module contains decision logic only: no I/O, threads or system clock. */
 @AnalyzeClasses(packages = "org.fennelstage", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
 
     @ArchTest
-    static final ArchRule theCoreUsesNoNetworkNoJsonAndNoProtobuf =
+    static final ArchRule coreUsesNoNetworkJsonOrProtobuf =
             noClasses()
                     .should()
                     .dependOnClassesThat()
@@ -25,14 +25,14 @@
                             "java.nio.channels..");
 
     @ArchTest
-    static final ArchRule theCoreHasNoThreadsOfItsOwn =
+    static final ArchRule coreCreatesNoThreads =
             noClasses()
                     .should()
                     .dependOnClassesThat()
                     .haveNameMatching("java\\.lang\\.Thread|java\\.util\\.concurrent\\.Exec.*");
 
     @ArchTest
-    static final ArchRule theCoreReadsNoSystemClock =
+    static final ArchRule coreReadsNoSystemClock =
             noClasses()
                     .should()
                     .callMethod(System.class, "currentTimeMillis")
@@ -40,7 +40,7 @@
                     .callMethod(System.class, "nanoTime");
 
     @ArchTest
-    static final ArchRule idsDependOnNoOtherPackage =
+    static final ArchRule idsDependOnNoDomainPackage =
             noClasses()
                     .that()
                     .resideInAPackage("org.fennelstage.id")
@@ -53,7 +53,7 @@
                             "org.fennelstage.configuration..");
 
     @ArchTest
-    static final ArchRule decisionsOnWorkersHaveNoCycles =
+    static final ArchRule decisionPackagesHaveNoCycles =
             slices().matching("org.fennelstage.(backend|rollout|member|claim|bill|limit|request)..")
                     .should()
                     .beFreeOfCycles();
