--- a/fennelstage-bench/src/main/java/org/fennelstage/bench/DecisionBenchmark.java
+++ b/fennelstage-bench/src/main/java/org/fennelstage/bench/DecisionBenchmark.java
@@ -104,6 +104,6 @@
     /** Judges a candidate version. */
     @Benchmark
     public Verdict verdict() {
-        return ExposurePolicy.DEFAULT.judge(evidence, Tolerance.DEFAULT, 1, 0.3);
+        return ExposurePolicy.DEFAULT.evaluate(evidence, Tolerance.DEFAULT, 1, 0.3);
     }
 }
--- a/fennelstage-bench/src/main/java/org/fennelstage/bench/ExposureMain.java
+++ b/fennelstage-bench/src/main/java/org/fennelstage/bench/ExposureMain.java
@@ -276,7 +276,8 @@
             for (final Evidence evidence : byVm) {
                 total = total.plus(evidence);
             }
-            final var verdict = ExposurePolicy.DEFAULT.judge(total, TOLERANCE, step, RATED_SHARE);
+            final var verdict =
+                    ExposurePolicy.DEFAULT.evaluate(total, TOLERANCE, step, RATED_SHARE);
             halted = verdict.halt().isPresent();
             if (!halted && verdict.passed()) {
                 done = step == STEPS.size() - 1;
--- a/fennelstage-core/src/main/java/org/fennelstage/member/MemberTable.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/member/MemberTable.java
@@ -171,7 +171,7 @@
      * @param count how many at most
      * @return the VMs
      */
-    public synchronized List<Member> helpers(final VmId target, final int count) {
+    public synchronized List<Member> indirectProbers(final VmId target, final int count) {
         final List<Member> found =
                 new ArrayList<>(
                         others.values().stream()
@@ -190,7 +190,7 @@
      *
      * @return the beliefs
      */
-    public synchronized List<Member> news() {
+    public synchronized List<Member> nextUpdates() {
         final List<Member> news = new ArrayList<>();
         if (selfNews > 0) {
             selfNews--;
@@ -209,7 +209,7 @@
     }
 
     /** Declares that the own VM is leaving. */
-    public synchronized void leave() {
+    public synchronized void startDraining() {
         self = self.withIncarnation(self.incarnation() + 1).withState(Member.State.LEAVING);
         selfNews = NEWS_COPIES;
     }
@@ -241,7 +241,7 @@
      *
      * @return the VMs by data centre
      */
-    public synchronized Map<DataCentreId, List<Member>> remotes() {
+    public synchronized Map<DataCentreId, List<Member>> remoteMembers() {
         final Map<DataCentreId, List<Member>> remotes = new HashMap<>();
         for (final Entry entry : others.values()) {
             final Member member = entry.member;
--- a/fennelstage-core/src/main/java/org/fennelstage/model/VersionChooser.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/model/VersionChooser.java
@@ -29,16 +29,20 @@
          * The request runs on this version.
          *
          * @param version the version
-         * @param trial the roll-out whose candidate may be used instead, if it grants a share
-         * @param watched the completed roll-out whose candidate this is; its answers go on being
-         *     judged, since a version that passed may still turn bad
+         * @param runningRollout the roll-out whose candidate may be used instead, if it grants a
+         *     share
+         * @param completedRollout the completed roll-out whose candidate this is; its answers go on
+         *     being judged, since a version that passed may still turn bad
          */
-        record Chosen(ModelVersion version, Optional<Rollout> trial, Optional<Rollout> watched)
+        record Chosen(
+                ModelVersion version,
+                Optional<Rollout> runningRollout,
+                Optional<Rollout> completedRollout)
                 implements Choice {
             public Chosen {
-                Objects.requireNonNull(watched, "watched is null");
+                Objects.requireNonNull(completedRollout, "completedRollout is null");
                 Objects.requireNonNull(version, "version is null");
-                Objects.requireNonNull(trial, "trial is null");
+                Objects.requireNonNull(runningRollout, "runningRollout is null");
             }
         }
 
@@ -47,7 +51,7 @@
          *
          * @param outcome what the caller is told
          */
-        record Refused(Outcome.NotRun outcome) implements Choice {}
+        record Rejected(Outcome.NotRun outcome) implements Choice {}
     }
 
     /** What is known of a roll-out's progress on this VM. */
@@ -162,6 +166,6 @@
     }
 
     private static Choice refuse(final Reason reason, final String detail) {
-        return new Choice.Refused(Outcome.notRun(reason, detail));
+        return new Choice.Rejected(Outcome.notRun(reason, detail));
     }
 }
--- a/fennelstage-core/src/main/java/org/fennelstage/rollout/ExposurePolicy.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/rollout/ExposurePolicy.java
@@ -50,7 +50,7 @@
      *     is no rating service
      * @return the verdict
      */
-    public Verdict judge(
+    public Verdict evaluate(
             final Evidence evidence,
             final Tolerance tolerance,
             final int step,
--- a/fennelstage-core/src/main/java/org/fennelstage/rollout/RolloutProgress.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/rollout/RolloutProgress.java
@@ -91,7 +91,8 @@
         if (halted.isPresent() || done) {
             return merged;
         }
-        final Verdict verdict = policy.judge(merged.total(), rollout.tolerance(), step, ratedShare);
+        final Verdict verdict =
+                policy.evaluate(merged.total(), rollout.tolerance(), step, ratedShare);
         if (verdict.halt().isPresent()) {
             return new RolloutProgress(step, granted, next, verdict.halt(), false);
         }
--- a/fennelstage-core/src/test/java/org/fennelstage/member/MemberTableTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/member/MemberTableTest.java
@@ -58,7 +58,7 @@
         table.merge(List.of(member("a", "dc-0", 5, Member.State.DEAD)));
         assertThat(table.self().incarnation()).isEqualTo(6);
         assertThat(table.self().state()).isEqualTo(Member.State.ALIVE);
-        assertThat(table.news()).contains(table.self());
+        assertThat(table.nextUpdates()).contains(table.self());
     }
 
     @Test
@@ -66,14 +66,14 @@
         for (int i = 0; i < 10; i++) {
             table.merge(List.of(member("r" + i, "dc-1", 1, Member.State.ALIVE)));
         }
-        assertThat(table.remotes().get(DataCentreId.of("dc-1")))
+        assertThat(table.remoteMembers().get(DataCentreId.of("dc-1")))
                 .hasSize(MemberTable.CONTACTS_PER_REMOTE_DATA_CENTRE);
         assertThat(table.dutyVms()).containsExactly(VmId.of("a"));
     }
 
     @Test
     void aLeavingVmHasNoDuties() {
-        table.leave();
+        table.startDraining();
         assertThat(table.dutyVms()).isEmpty();
     }
 
--- a/fennelstage-core/src/test/java/org/fennelstage/model/VersionChooserTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/model/VersionChooserTest.java
@@ -54,7 +54,7 @@
                         ModelVersion.State.SERVING,
                         VersionChooser.Status.RUNNING);
         assertThat(chosen.version().id()).isEqualTo(V1);
-        assertThat(chosen.trial()).contains(ROLLOUT);
+        assertThat(chosen.runningRollout()).contains(ROLLOUT);
     }
 
     @Test
@@ -65,7 +65,7 @@
                         ModelVersion.State.SERVING,
                         VersionChooser.Status.HALTED);
         assertThat(chosen.version().id()).isEqualTo(V1);
-        assertThat(chosen.trial()).isEmpty();
+        assertThat(chosen.runningRollout()).isEmpty();
     }
 
     @Test
@@ -142,7 +142,7 @@
     }
 
     private static Reason reason(final VersionChooser.Choice choice) {
-        return ((VersionChooser.Choice.Refused) choice).outcome().reason();
+        return ((VersionChooser.Choice.Rejected) choice).outcome().reason();
     }
 
     private static Configuration configuration(
--- a/fennelstage-peer/src/main/java/org/fennelstage/peer/PeerGroup.java
+++ b/fennelstage-peer/src/main/java/org/fennelstage/peer/PeerGroup.java
@@ -176,7 +176,7 @@
 
     /** Tells a few peers that this VM is leaving. */
     public void leave() {
-        members.leave();
+        members.startDraining();
         for (int i = 0; i < HELPERS; i++) {
             members.nextProbe().ifPresent(m -> network.send(address(m), probe(false)));
         }
@@ -228,7 +228,7 @@
     }
 
     private void probeThroughOthers(final Member target) {
-        final List<Member> helpers = members.helpers(target.id(), HELPERS);
+        final List<Member> helpers = members.indirectProbers(target.id(), HELPERS);
         final Envelope.Builder body =
                 Envelope.newBuilder()
                         .setProbeRequest(ProbeRequest.newBuilder().setTarget(target.id().value()));
@@ -381,7 +381,7 @@
             members.find(id).ifPresent(m -> targets.add(address(m)));
         }
         if (alsoRemote) {
-            for (final List<Member> contacts : members.remotes().values()) {
+            for (final List<Member> contacts : members.remoteMembers().values()) {
                 final List<Member> shuffled = new ArrayList<>(contacts);
                 Collections.shuffle(shuffled, new java.util.Random(random.nextLong()));
                 targets.add(address(shuffled.get(0)));
@@ -399,7 +399,7 @@
     private Envelope.Builder probe(final boolean joining) {
         final Probe.Builder builder = digests().setJoining(joining);
         builder.addMembers(PeerCodec.encode(members.self()));
-        members.news().stream()
+        members.nextUpdates().stream()
                 .filter(m -> !m.id().equals(members.self().id()))
                 .forEach(m -> builder.addMembers(PeerCodec.encode(m)));
         return Envelope.newBuilder().setProbe(builder);
--- a/fennelstage-router/src/main/java/org/fennelstage/main/RouterNode.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/main/RouterNode.java
@@ -403,7 +403,7 @@
 
     private int vmCount() {
         final int own = members.dutyVms().size();
-        return own * (1 + members.remotes().size());
+        return own * (1 + members.remoteMembers().size());
     }
 
     private byte[] statusJson() {
--- a/fennelstage-router/src/main/java/org/fennelstage/route/ChatRun.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/ChatRun.java
@@ -118,13 +118,13 @@
                                                 team,
                                                 chooseModel(),
                                                 services.rollouts()));
-        if (choice instanceof VersionChooser.Choice.Refused refused) {
+        if (choice instanceof VersionChooser.Choice.Rejected refused) {
             end(refused.outcome());
         } else if (choice instanceof VersionChooser.Choice.Chosen chosen) {
             version = chosen.version();
-            exposure = chosen.watched();
+            exposure = chosen.completedRollout();
             final Optional<Rollout> trial =
-                    chosen.trial().filter(r -> fallback.isEmpty()).filter(this::isSampled);
+                    chosen.runningRollout().filter(r -> fallback.isEmpty()).filter(this::isSampled);
             if (trial.isPresent()) {
                 askForShare(trial.get());
             } else {
