--- a/fennelstage-core/src/main/java/org/fennelstage/rollout/Evidence.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/rollout/Evidence.java
@@ -4,12 +4,12 @@
 import java.util.Objects;
 
 /**
- * What is known of a candidate: how many requests it got, and per signal how many were judged and
- * how many of those were bad.
+ * Counts for the new version of a rollout: the requests sent to it and, per {@link Signal}, the
+ * requests that were judged and those judged bad.
  *
- * <p>Laws: {@link #plus} is commutative and associative with {@link #none()} as identity; {@link
- * #max} is commutative, associative and idempotent, so a sender may repeat its running totals.
- * Immutable and thread-safe.
+ * <p>Invariant: {@link #plus(Evidence)} is commutative and associative with {@link #none()} as
+ * identity; {@link #max} is commutative, associative and idempotent, so a sender may send the same
+ * running totals repeatedly. Immutable and thread-safe.
  */
 public final class Evidence {
 
@@ -27,7 +27,7 @@
     }
 
     /**
-     * Returns the evidence of no request.
+     * Returns evidence without any request.
      *
      * @return the evidence
      */
@@ -38,36 +38,36 @@
     /**
      * Returns evidence with these totals.
      *
-     * @param exposed the requests sent to the candidate
-     * @param judged the judged requests, by ordinal of {@link Signal}
-     * @param bad the bad ones among them, by ordinal of {@link Signal}
+     * @param exposed the number of requests sent to the new version
+     * @param judged the number of judged requests, by ordinal of {@link Signal}
+     * @param bad the number of requests judged bad, by ordinal of {@link Signal}
      * @return the evidence
-     * @throws IllegalArgumentException if an array has another length
+     * @throws IllegalArgumentException if an array does not have one element per signal
      */
     public static Evidence of(final long exposed, final long[] judged, final long[] bad) {
         Objects.requireNonNull(judged, "judged is null");
         Objects.requireNonNull(bad, "bad is null");
         if (judged.length != SIGNALS || bad.length != SIGNALS) {
-            throw new IllegalArgumentException("one total per signal is needed");
+            throw new IllegalArgumentException("expected " + SIGNALS + " totals, one per signal");
         }
         return new Evidence(exposed, judged.clone(), bad.clone());
     }
 
     /**
-     * Adds one request sent to the candidate.
+     * Adds one request sent to the new version.
      *
-     * @return the larger evidence
+     * @return the sum
      */
     public Evidence plusExposed() {
         return new Evidence(exposed + 1, judged, bad);
     }
 
     /**
-     * Adds one judgement.
+     * Adds one judged request.
      *
-     * @param signal what was judged
-     * @param isBad whether it was bad
-     * @return the larger evidence
+     * @param signal the signal on which it was judged
+     * @param isBad whether it was judged bad
+     * @return the sum
      */
     public Evidence plus(final Signal signal, final boolean isBad) {
         final long[] nextJudged = judged.clone();
@@ -78,9 +78,9 @@
     }
 
     /**
-     * Adds evidence of other requests.
+     * Adds the evidence of other requests.
      *
-     * @param other the other evidence
+     * @param other evidence of requests that are not counted here
      * @return the sum
      */
     public Evidence plus(final Evidence other) {
@@ -94,9 +94,9 @@
     }
 
     /**
-     * Returns the later of two running totals of the same sender.
+     * Merges two running totals of the same sender.
      *
-     * @param other the other total
+     * @param other the other running totals
      * @return the larger of each count
      */
     public Evidence max(final Evidence other) {
@@ -122,7 +122,7 @@
     }
 
     /**
-     * Returns the judged totals by ordinal of {@link Signal}.
+     * Returns the number of judged requests by ordinal of {@link Signal}.
      *
      * @return a copy
      */
@@ -131,7 +131,7 @@
     }
 
     /**
-     * Returns the bad totals by ordinal of {@link Signal}.
+     * Returns the number of requests judged bad by ordinal of {@link Signal}.
      *
      * @return a copy
      */
--- a/fennelstage-core/src/main/java/org/fennelstage/rollout/ExposurePolicy.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/rollout/ExposurePolicy.java
@@ -3,52 +3,53 @@
 import java.util.Optional;
 
 /**
- * How many requests a candidate may get before more is known of it, and when its steps pass.
+ * Limits the requests sent to the new version of a rollout by the evidence on it, and decides when
+ * a step passes or the rollout halts.
  *
- * <p>Invariant: {@link #allowed} never falls as evidence grows. The number is for the whole fleet
- * and does not depend on the number of VMs. Immutable and thread-safe.
+ * <p>Invariant: {@link #allowed} never decreases as evidence grows. It is a limit for the whole
+ * fleet, independent of the number of VMs. Immutable and thread-safe.
  *
- * @param initial requests before the first judgement
- * @param growth further requests per judged one
- * @param perStep judged requests that a step must see before the next
- * @param alpha the accepted chance of halting a good candidate
+ * @param initial the number of requests allowed before the first is judged
+ * @param growth the number of further requests allowed per judged request
+ * @param judgedPerStep the number of judged requests needed per step
+ * @param alpha the accepted probability of halting a good version, in (0, 1)
  */
-public record ExposurePolicy(int initial, double growth, int perStep, double alpha) {
+public record ExposurePolicy(int initial, double growth, int judgedPerStep, double alpha) {
 
-    /** Found by the exposure experiment in docs/measurements. */
     public static final ExposurePolicy DEFAULT = new ExposurePolicy(20, 2, 60, 0.01);
 
     private static final int SIGNALS = Signal.values().length;
 
     /**
-     * A step passes once the rate of each signal is shown to lie below this many times its odds.
+     * A step passes once the odds of each signal are shown to be below this multiple of the
+     * tolerated odds.
      */
     private static final double UNACCEPTABLE_ODDS = 3;
 
-    /** The accepted chance that an unacceptable candidate passes, per signal. */
+    /** The accepted probability that an unacceptable version passes, per signal. */
     private static final double BETA = 0.02;
 
     /**
-     * Returns how many requests the candidate may have got in all.
+     * Returns the total number of requests that may be sent to the new version.
      *
-     * @param evidence what is known
-     * @param ratedShare the share of answers that the rating service rates, in [0, 1]; 0 if there
-     *     is no rating service
-     * @return the bound
+     * @param evidence the evidence on the new version
+     * @param ratedShare the fraction of answers that the rating service rates, in [0, 1]; 0 if
+     *     there is no rating service
+     * @return the limit on the number of requests
      */
     public long allowed(final Evidence evidence, final double ratedShare) {
-        return initial + (long) Math.floor(growth * judged(evidence, ratedShare));
+        return initial + (long) Math.floor(growth * fullyJudged(evidence, ratedShare));
     }
 
     /**
-     * Judges a candidate.
+     * Decides whether the rollout halts or its current step passes.
      *
-     * @param evidence what is known
-     * @param tolerance what is acceptable
-     * @param step the present step, from 0
-     * @param ratedShare the share of answers that the rating service rates, in [0, 1]; 0 if there
-     *     is no rating service
-     * @return the verdict
+     * @param evidence the evidence on the new version
+     * @param tolerance the acceptable failure rates
+     * @param step the index of the current step, from 0
+     * @param ratedShare the fraction of answers that the rating service rates, in [0, 1]; 0 if
+     *     there is no rating service
+     * @return the decision
      */
     public Verdict evaluate(
             final Evidence evidence,
@@ -66,31 +67,32 @@
                 return new Verdict(Optional.of(signal), false);
             }
         }
-        final long needed = (long) perStep * (step + 1);
-        final boolean seenEnough = judged(evidence, ratedShare) >= needed;
+        final long needed = (long) judgedPerStep * (step + 1);
+        final boolean hasEnoughEvidence = fullyJudged(evidence, ratedShare) >= needed;
         return new Verdict(
-                Optional.empty(), seenEnough && isShownGood(evidence, tolerance, ratedShare));
+                Optional.empty(),
+                hasEnoughEvidence && isShownAcceptable(evidence, tolerance, ratedShare));
     }
 
     /**
-     * Not having been found bad is not enough to pass: with a few ratings only, a version whose
-     * answers are poor one time in four would pass in most runs.
+     * Requires positive evidence. The mere absence of evidence against a version would let a poor
+     * version pass while few of its answers have been rated.
      */
-    private static boolean isShownGood(
+    private static boolean isShownAcceptable(
             final Evidence evidence, final Tolerance tolerance, final double ratedShare) {
         for (final Signal signal : Signal.values()) {
-            final boolean isNeeded =
+            final boolean isRequired =
                     signal == Signal.ERROR
                             || (signal == Signal.POOR_RATING && ratedShare > 0)
                             || evidence.judged(signal) > 0;
-            final boolean isShown =
+            final boolean isAcceptable =
                     SequentialTest.isShownAcceptable(
                             evidence.judged(signal),
                             evidence.bad(signal),
                             tolerance.of(signal),
                             UNACCEPTABLE_ODDS,
                             BETA);
-            if (isNeeded && !isShown) {
+            if (isRequired && !isAcceptable) {
                 return false;
             }
         }
@@ -98,10 +100,10 @@
     }
 
     /**
-     * The slower kind of judgement counts: a candidate whose answers are not rated, because the
-     * rating service is down, gets no further requests.
+     * Returns the number of fully judged requests, limited by the slower of errors and ratings, so
+     * that the new version gets no further requests while the rating service is unavailable.
      */
-    private static double judged(final Evidence evidence, final double ratedShare) {
+    private static double fullyJudged(final Evidence evidence, final double ratedShare) {
         if (ratedShare <= 0) {
             return evidence.judged(Signal.ERROR);
         }
--- a/fennelstage-core/src/main/java/org/fennelstage/rollout/HaltTable.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/rollout/HaltTable.java
@@ -7,11 +7,13 @@
 import org.fennelstage.id.RolloutId;
 
 /**
- * The roll-outs whose candidate was found bad. Such a fact is never taken back: a new attempt is a
- * new roll-out with a new id. So it may spread from VM to VM in any order, also while the platform
- * is down.
+ * The rollouts that were halted because their new version is bad.
  *
- * <p>Law: merging is commutative, associative and idempotent. Thread-safe; one monitor guards it.
+ * <p>A halt is never revoked: trying again takes a new rollout with a new id. Halts can therefore
+ * spread between VMs in any order, also while the store is unavailable.
+ *
+ * <p>Invariant: merging is commutative, associative and idempotent. Thread-safe; one monitor guards
+ * all state.
  */
 public final class HaltTable {
 
@@ -30,11 +32,11 @@
     }
 
     /**
-     * Notes that a candidate was found bad.
+     * Adds a halted rollout.
      *
-     * @param rollout the roll-out
-     * @param signal on which signal
-     * @return true if this was not known
+     * @param rollout the rollout
+     * @param signal the signal on which its new version is bad
+     * @return true if the rollout was not in the table
      */
     public synchronized boolean add(final RolloutId rollout, final Signal signal) {
         if (halts.putIfAbsent(rollout, signal) != null) {
@@ -45,9 +47,9 @@
     }
 
     /**
-     * Returns the signal on which a candidate was found bad.
+     * Returns the signal on which the new version of a rollout is bad.
      *
-     * @param rollout the roll-out
+     * @param rollout the rollout
      * @return the signal, empty if not halted
      */
     public synchronized Optional<Signal> find(final RolloutId rollout) {
@@ -64,7 +66,7 @@
     }
 
     /**
-     * Returns a summary: equal tables have equal hashes.
+     * Returns a hash of the table; equal tables have equal hashes.
      *
      * @return the hash, 0 for an empty table
      */
--- a/fennelstage-core/src/main/java/org/fennelstage/rollout/Rollout.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/rollout/Rollout.java
@@ -7,16 +7,18 @@
 import org.fennelstage.id.VersionId;
 
 /**
- * The declared course of moving a model's traffic from a proven version to a candidate.
+ * The rollout order of a model: moves its requests step by step from the current version to a new
+ * one.
  *
- * <p>Invariant: both versions are of one model; shares ascend in (0, 1]. Immutable and thread-safe.
+ * <p>Invariant: the versions differ and belong to one model; the steps ascend within (0, 1].
+ * Immutable and thread-safe.
  *
- * @param id the roll-out
- * @param proven the version known to be good
- * @param candidate the version under test
- * @param state what operators want of it
- * @param steps the candidate's share of new work, step by step
- * @param tolerance the failure rates that are still acceptable
+ * @param id the id of the rollout
+ * @param proven the current version
+ * @param candidate the new version
+ * @param state the state set by operators
+ * @param steps the new version's fraction of new requests at each step, in (0, 1]
+ * @param tolerance the acceptable failure rates of the new version
  */
 public record Rollout(
         RolloutId id,
@@ -26,7 +28,7 @@
         List<Double> steps,
         Tolerance tolerance) {
 
-    /** What operators want of a roll-out. */
+    /** The state of a rollout as set by operators. */
     public enum State {
         RUNNING,
         PAUSED,
@@ -42,13 +44,13 @@
         steps = List.copyOf(steps);
         if (!proven.model().equals(candidate.model()) || proven.equals(candidate)) {
             throw new IllegalArgumentException(
-                    "roll-out " + id + " needs two versions of one model");
+                    "rollout " + id + " needs two different versions of one model");
         }
         checkSteps(id, steps);
     }
 
     /**
-     * Returns the model whose traffic moves.
+     * Returns the model whose version changes.
      *
      * @return the model
      */
@@ -57,26 +59,26 @@
     }
 
     /**
-     * Returns this roll-out in another state.
+     * Returns a copy of this rollout in another state.
      *
      * @param next the state
-     * @return the roll-out
+     * @return the copy
      */
     public Rollout withState(final State next) {
         return new Rollout(id, proven, candidate, next, steps, tolerance);
     }
 
     private static void checkSteps(final RolloutId id, final List<Double> steps) {
-        double last = 0;
+        double previous = 0;
         for (final double step : steps) {
-            if (!(step > last && step <= 1)) {
+            if (!(step > previous && step <= 1)) {
                 throw new IllegalArgumentException(
-                        "roll-out " + id + ": steps must ascend within (0, 1]");
+                        "rollout " + id + ": steps must ascend within (0, 1]");
             }
-            last = step;
+            previous = step;
         }
         if (steps.isEmpty()) {
-            throw new IllegalArgumentException("roll-out " + id + " has no steps");
+            throw new IllegalArgumentException("rollout " + id + " has no steps");
         }
     }
 }
--- a/fennelstage-core/src/main/java/org/fennelstage/rollout/RolloutProgress.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/rollout/RolloutProgress.java
@@ -7,16 +7,16 @@
 import org.fennelstage.id.DataCentreId;
 
 /**
- * How far a roll-out has got, as kept in the object API; any VM can carry on from it.
+ * The progress of a rollout. It is kept in the store, so that any VM can continue the rollout.
  *
- * <p>Invariants, kept by conditional updates: the step, each data centre's share and evidence never
- * fall; once halted it stays halted; the shares handed out never exceed what the policy allows on
- * the evidence in this object. Immutable and thread-safe.
+ * <p>Invariant, kept by conditional writes: the step and each data centre's grant and evidence
+ * never decrease; a halted rollout stays halted; the sum of the grants never exceeds what the
+ * policy allows for the evidence in this object. Immutable and thread-safe.
  *
- * @param step the present step, from 0
- * @param granted how many requests each data centre may have sent to the candidate in all
- * @param evidence what each data centre has found
- * @param halted the signal on which the candidate was found bad
+ * @param step the index of the current step, from 0
+ * @param granted the total number of requests that each data centre may send to the new version
+ * @param evidence the running totals of each data centre
+ * @param halted the signal on which the new version is bad, empty if the rollout is not halted
  * @param done whether all steps have passed
  */
 public record RolloutProgress(
@@ -33,7 +33,7 @@
     }
 
     /**
-     * Returns the progress of a roll-out that has not begun.
+     * Returns the progress of a rollout that has not begun.
      *
      * @return the progress
      */
@@ -42,7 +42,7 @@
     }
 
     /**
-     * Returns the evidence of all data centres.
+     * Returns the combined evidence of all data centres.
      *
      * @return the sum
      */
@@ -51,42 +51,43 @@
     }
 
     /**
-     * Returns how many requests a data centre may have sent to the candidate.
+     * Returns the total number of requests that a data centre may send to the new version.
      *
      * @param dataCentre the data centre
-     * @return the share
+     * @return the number of requests, 0 if none were granted
      */
     public long granted(final DataCentreId dataCentre) {
         return granted.getOrDefault(dataCentre, 0L);
     }
 
     /**
-     * Returns how many requests all data centres together may have sent to the candidate.
+     * Returns the total number of requests that all data centres may send to the new version.
      *
-     * @return the sum of the shares
+     * @return the sum of the grants
      */
-    public long grantedInAll() {
+    public long totalGranted() {
         return granted.values().stream().mapToLong(Long::longValue).sum();
     }
 
     /**
-     * Adds what a data centre has found, and draws the consequences.
+     * Merges the running totals of a data centre, then halts the rollout or passes its step if the
+     * evidence shows it.
      *
      * @param dataCentre the data centre
-     * @param found its running totals
-     * @param rollout the roll-out
-     * @param policy the policy
-     * @param ratedShare the share of answers that are rated
-     * @return the progress after it
+     * @param totals the running totals of the data centre
+     * @param rollout the rollout
+     * @param policy the policy that decides on the evidence
+     * @param ratedShare the fraction of answers that are rated, in [0, 1]
+     * @return the new progress
      */
     public RolloutProgress report(
             final DataCentreId dataCentre,
-            final Evidence found,
+            final Evidence totals,
             final Rollout rollout,
             final ExposurePolicy policy,
             final double ratedShare) {
         final Map<DataCentreId, Evidence> next = new TreeMap<>(evidence);
-        next.merge(dataCentre, found, Evidence::max);
+        next.merge(dataCentre, totals, Evidence::max);
         final RolloutProgress merged = new RolloutProgress(step, granted, next, halted, done);
         if (halted.isPresent() || done) {
             return merged;
@@ -99,39 +100,39 @@
         if (!verdict.passed()) {
             return merged;
         }
-        final boolean last = step + 1 >= rollout.steps().size();
-        return new RolloutProgress(last ? step : step + 1, granted, next, halted, last);
+        final boolean isLastStep = step + 1 >= rollout.steps().size();
+        return new RolloutProgress(isLastStep ? step : step + 1, granted, next, halted, isLastStep);
     }
 
     /**
-     * Grants a data centre a further share, no more than is left for all.
+     * Grants further requests to a data centre, up to what the policy still allows.
      *
      * @param dataCentre the data centre
-     * @param wanted how many further requests it asks for
-     * @param policy the policy
-     * @param ratedShare the share of answers that are rated
-     * @return the progress after it
+     * @param wanted the number of further requests asked for
+     * @param policy the policy that limits the grants
+     * @param ratedShare the fraction of answers that are rated, in [0, 1]
+     * @return the new progress, this one if nothing was granted
      */
     public RolloutProgress grant(
             final DataCentreId dataCentre,
             final long wanted,
             final ExposurePolicy policy,
             final double ratedShare) {
-        final long left = policy.allowed(total(), ratedShare) - grantedInAll();
-        final long given = Math.max(0, Math.min(wanted, left));
-        if (given == 0 || halted.isPresent() || done) {
+        final long remaining = policy.allowed(total(), ratedShare) - totalGranted();
+        final long added = Math.max(0, Math.min(wanted, remaining));
+        if (added == 0 || halted.isPresent() || done) {
             return this;
         }
         final Map<DataCentreId, Long> next = new TreeMap<>(granted);
-        next.merge(dataCentre, given, Long::sum);
+        next.merge(dataCentre, added, Long::sum);
         return new RolloutProgress(step, next, evidence, halted, done);
     }
 
     /**
-     * Notes that the candidate was found bad elsewhere.
+     * Halts the rollout.
      *
-     * @param signal the signal
-     * @return the progress after it
+     * @param signal the signal on which the new version is bad
+     * @return the new progress, this one if the rollout is halted already
      */
     public RolloutProgress halt(final Signal signal) {
         return halted.isPresent()
--- a/fennelstage-core/src/main/java/org/fennelstage/rollout/Signal.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/rollout/Signal.java
@@ -1,13 +1,13 @@
 package org.fennelstage.rollout;
 
-/** A way in which an answer can turn out bad. Each is tested on its own. */
+/** A criterion by which a response is judged good or bad. Each is tested separately. */
 public enum Signal {
-    /** The engine failed. */
+    /** The backend server failed to process the request. */
     ERROR,
     /** The rating service rated the answer below the profile's quality. */
     POOR_RATING,
-    /** The answer ended before it was whole. */
+    /** The response ended before it was complete. */
     TRUNCATION,
-    /** The first token came after the profile's objective. */
+    /** The first token arrived later than the profile's latency objective. */
     LATE
 }
--- a/fennelstage-core/src/main/java/org/fennelstage/rollout/Tolerance.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/rollout/Tolerance.java
@@ -1,18 +1,18 @@
 package org.fennelstage.rollout;
 
 /**
- * The failure rates of a candidate that are still acceptable, one per {@link Signal}.
+ * The acceptable failure rates of a new version, one per {@link Signal}.
  *
- * <p>Invariant: each is in (0, 1). Immutable and thread-safe.
+ * <p>Invariant: each rate is in (0, 1). Immutable and thread-safe.
  *
  * @param errors the rate of failed requests
  * @param poorRatings the rate of rated answers below the profile's quality
- * @param truncations the rate of answers cut short
- * @param late the rate of answers later than the objective
+ * @param truncations the rate of truncated responses
+ * @param late the rate of responses whose first token is later than the latency objective
  */
 public record Tolerance(double errors, double poorRatings, double truncations, double late) {
 
-    /** Suits a version whose predecessor fails rarely. */
+    /** Default for a model whose current version rarely fails. */
     public static final Tolerance DEFAULT = new Tolerance(0.02, 0.10, 0.02, 0.05);
 
     public Tolerance {
@@ -39,7 +39,7 @@
 
     private static void check(final double rate) {
         if (!(rate > 0 && rate < 1)) {
-            throw new IllegalArgumentException("tolerance outside (0, 1): " + rate);
+            throw new IllegalArgumentException("tolerance is outside (0, 1): " + rate);
         }
     }
 }
--- a/fennelstage-core/src/main/java/org/fennelstage/rollout/package-info.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/rollout/package-info.java
@@ -1,2 +1,2 @@
-/** Roll-outs, the evidence on candidates, and their exposure. */
+/** Rollouts: the evidence on new versions, and the limits on the requests sent to them. */
 package org.fennelstage.rollout;
--- a/fennelstage-core/src/test/java/org/fennelstage/rollout/DriftDetectorTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/rollout/DriftDetectorTest.java
@@ -13,18 +13,15 @@
             DriftDetector.of(Tolerance.DEFAULT, DriftDetector.DEFAULT_ALPHA, Evidence.none());
     private Evidence totals = Evidence.none();
 
-    /**
-     * Symptom: a version that served well for long turns bad, and nobody stops it. Cause: the long
-     * good history outweighs the bad hour in a test of all evidence.
-     */
+    /** A long good history must not outweigh a recent failure, as it does in SequentialTest. */
     @Test
-    void aVersionThatTurnsBadAfterALongGoodTimeIsFoundSoon() {
-        assertThat(serve(20_000, 0.01)).isEmpty();
-        int answers = 0;
-        while (serve(1, 1).isEmpty()) {
-            answers++;
+    void updateDetectsFailureWithinTenRequestsAfterALongGoodHistory() {
+        assertThat(observe(20_000, 0.01)).isEmpty();
+        int requests = 0;
+        while (observe(1, 1).isEmpty()) {
+            requests++;
         }
-        assertThat(answers).isLessThanOrEqualTo(10);
+        assertThat(requests).isLessThanOrEqualTo(10);
         assertThat(
                         SequentialTest.exceeds(
                                 totals.judged(Signal.ERROR),
@@ -35,22 +32,22 @@
     }
 
     @Test
-    void aVersionAtTheToleratedRateRaisesNoAlarmInAHundredThousandAnswers() {
-        assertThat(serve(100_000, Tolerance.DEFAULT.errors())).isEmpty();
+    void updateRaisesNoAlarmInAHundredThousandRequestsAtTheToleratedRate() {
+        assertThat(observe(100_000, Tolerance.DEFAULT.errors())).isEmpty();
     }
 
     @Test
-    void totalsThatFallBackRaiseNoAlarm() {
-        serve(100, 0.01);
+    void updateRaisesNoAlarmWhenTotalsDecrease() {
+        observe(100, 0.01);
         assertThat(detector.update(Evidence.none())).isEmpty();
     }
 
-    private Optional<Signal> serve(final int answers, final double errors) {
-        for (int i = 0; i < answers; i++) {
-            totals = totals.plus(Signal.ERROR, random.nextDouble() < errors);
-            final Optional<Signal> found = detector.update(totals);
-            if (found.isPresent()) {
-                return found;
+    private Optional<Signal> observe(final int requests, final double errorRate) {
+        for (int i = 0; i < requests; i++) {
+            totals = totals.plus(Signal.ERROR, random.nextDouble() < errorRate);
+            final Optional<Signal> badSignal = detector.update(totals);
+            if (badSignal.isPresent()) {
+                return badSignal;
             }
         }
         return Optional.empty();
--- a/fennelstage-core/src/test/java/org/fennelstage/rollout/RolloutProgressTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/rollout/RolloutProgressTest.java
@@ -16,7 +16,7 @@
 
 class RolloutProgressTest {
 
-    private static final DataCentreId HERE = DataCentreId.of("dc-0");
+    private static final DataCentreId DATA_CENTRE = DataCentreId.of("dc-0");
     private static final Rollout ROLLOUT =
             new Rollout(
                     RolloutId.of("june"),
@@ -27,19 +27,20 @@
                     Tolerance.DEFAULT);
     private static final ExposurePolicy POLICY = ExposurePolicy.DEFAULT;
 
-    private record Step(int dataCentre, int wanted, int good, int bad) {}
+    private record Report(int dataCentre, int wanted, int good, int bad) {}
 
     @Test
-    void grantGivesNoMoreThanTheInitialExposureBeforeAnythingIsJudged() {
-        final RolloutProgress progress = RolloutProgress.begin().grant(HERE, 1000, POLICY, 1);
-        assertThat(progress.granted(HERE)).isEqualTo(POLICY.initial());
-        assertThat(progress.grant(DataCentreId.of("dc-1"), 5, POLICY, 1).grantedInAll())
+    void grantIsLimitedToTheInitialExposureBeforeAnyRequestIsJudged() {
+        final RolloutProgress progress =
+                RolloutProgress.begin().grant(DATA_CENTRE, 1000, POLICY, 1);
+        assertThat(progress.granted(DATA_CENTRE)).isEqualTo(POLICY.initial());
+        assertThat(progress.grant(DataCentreId.of("dc-1"), 5, POLICY, 1).totalGranted())
                 .isEqualTo(POLICY.initial());
     }
 
-    /** With the rating service down nothing is judged to the end, and exposure stops growing. */
+    /** The new version must not get more requests while the rating service is unavailable. */
     @Test
-    void grantDoesNotGrowWhileAnswersAreNotRated() {
+    void allowedDoesNotGrowWhileAnswersAreNotRated() {
         Evidence unrated = Evidence.none();
         for (int i = 0; i < 200; i++) {
             unrated = unrated.plusExposed().plus(Signal.ERROR, false);
@@ -48,26 +49,22 @@
     }
 
     @Test
-    void reportHaltsForGood() {
+    void reportHaltsPermanently() {
         Evidence evidence = Evidence.none();
         for (int i = 0; i < 10; i++) {
             evidence = evidence.plus(Signal.ERROR, true);
         }
         final RolloutProgress halted =
-                RolloutProgress.begin().report(HERE, evidence, ROLLOUT, POLICY, 1);
+                RolloutProgress.begin().report(DATA_CENTRE, evidence, ROLLOUT, POLICY, 1);
         assertThat(halted.halted()).contains(Signal.ERROR);
-        assertThat(halted.report(HERE, Evidence.none(), ROLLOUT, POLICY, 1).halted())
+        assertThat(halted.report(DATA_CENTRE, Evidence.none(), ROLLOUT, POLICY, 1).halted())
                 .contains(Signal.ERROR);
-        assertThat(halted.grant(HERE, 5, POLICY, 1)).isEqualTo(halted);
+        assertThat(halted.grant(DATA_CENTRE, 5, POLICY, 1)).isEqualTo(halted);
     }
 
-    /**
-     * Symptom: a version whose answers are poor one time in four passes all steps. Events: a third
-     * of the answers is rated, so the steps end with some fifty ratings. Cause: a step passed when
-     * it had merely not been found bad.
-     */
+    /** A step must not pass merely because too few ratings exist to find the version bad. */
     @Test
-    void reportDoesNotPassACandidateThatIsNotShownGood() {
+    void reportDoesNotPassAVersionThatIsNotShownAcceptable() {
         RolloutProgress progress = RolloutProgress.begin();
         Evidence evidence = Evidence.none();
         for (int i = 0; i < 180; i++) {
@@ -75,57 +72,58 @@
             if (i % 3 == 0) {
                 evidence = evidence.plus(Signal.POOR_RATING, i % 12 == 0);
             }
-            progress = progress.report(HERE, evidence, ROLLOUT, POLICY, 0.33);
+            progress = progress.report(DATA_CENTRE, evidence, ROLLOUT, POLICY, 0.33);
         }
         assertThat(progress.done()).isFalse();
         assertThat(progress.step()).isZero();
     }
 
     @Test
-    void reportPassesStepsAndEnds() {
+    void reportPassesAllStepsOfAGoodVersion() {
         RolloutProgress progress = RolloutProgress.begin();
         Evidence evidence = Evidence.none();
         for (int i = 0; i < 400; i++) {
             evidence = evidence.plus(Signal.ERROR, false).plus(Signal.POOR_RATING, false);
-            progress = progress.report(HERE, evidence, ROLLOUT, POLICY, 1);
+            progress = progress.report(DATA_CENTRE, evidence, ROLLOUT, POLICY, 1);
         }
         assertThat(progress.done()).isTrue();
     }
 
     @Property(seed = "41", tries = 300)
-    void sharesNeverExceedWhatIsAllowedAndNothingFalls(@ForAll("steps") final List<Step> steps) {
+    void grantsNeverExceedTheLimitAndProgressNeverDecreases(
+            @ForAll("reports") final List<Report> reports) {
         RolloutProgress progress = RolloutProgress.begin();
-        final Evidence[] found = {Evidence.none(), Evidence.none(), Evidence.none()};
-        for (final Step step : steps) {
-            final DataCentreId dc = DataCentreId.of("dc-" + step.dataCentre());
-            found[step.dataCentre()] = add(found[step.dataCentre()], step);
+        final Evidence[] totals = {Evidence.none(), Evidence.none(), Evidence.none()};
+        for (final Report report : reports) {
+            final DataCentreId dc = DataCentreId.of("dc-" + report.dataCentre());
+            totals[report.dataCentre()] = add(totals[report.dataCentre()], report);
             final RolloutProgress next =
-                    progress.report(dc, found[step.dataCentre()], ROLLOUT, POLICY, 1)
-                            .grant(dc, step.wanted(), POLICY, 1);
-            assertThat(next.grantedInAll()).isLessThanOrEqualTo(POLICY.allowed(next.total(), 1));
+                    progress.report(dc, totals[report.dataCentre()], ROLLOUT, POLICY, 1)
+                            .grant(dc, report.wanted(), POLICY, 1);
+            assertThat(next.totalGranted()).isLessThanOrEqualTo(POLICY.allowed(next.total(), 1));
             assertThat(next.step()).isGreaterThanOrEqualTo(progress.step());
-            assertThat(next.grantedInAll()).isGreaterThanOrEqualTo(progress.grantedInAll());
+            assertThat(next.totalGranted()).isGreaterThanOrEqualTo(progress.totalGranted());
             assertThat(progress.halted().isEmpty() || next.halted().isPresent()).isTrue();
             progress = next;
         }
     }
 
     @Provide
-    Arbitrary<List<Step>> steps() {
+    Arbitrary<List<Report>> reports() {
         return Combinators.combine(
                         Arbitraries.integers().between(0, 2),
                         Arbitraries.integers().between(0, 30),
                         Arbitraries.integers().between(0, 20),
                         Arbitraries.integers().between(0, 1))
-                .as(Step::new)
+                .as(Report::new)
                 .list()
                 .ofMaxSize(40);
     }
 
-    private static Evidence add(final Evidence evidence, final Step step) {
+    private static Evidence add(final Evidence evidence, final Report report) {
         Evidence sum = evidence;
-        for (int i = 0; i < step.good() + step.bad(); i++) {
-            final boolean isBad = i < step.bad();
+        for (int i = 0; i < report.good() + report.bad(); i++) {
+            final boolean isBad = i < report.bad();
             sum = sum.plusExposed().plus(Signal.ERROR, isBad).plus(Signal.POOR_RATING, false);
         }
         return sum;
--- a/fennelstage-core/src/test/java/org/fennelstage/rollout/SequentialTestTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/rollout/SequentialTestTest.java
@@ -10,12 +10,12 @@
     private static final double ALPHA = 0.0025;
 
     @Test
-    void nothingJudgedIsNoEvidence() {
+    void logEvidenceIsZeroWithoutJudgedRequests() {
         assertThat(SequentialTest.logEvidence(0, 0, 0.02)).isZero();
     }
 
     @Test
-    void aPlainlyBadVersionIsFoundWithinAFewJudgements() {
+    void exceedsDetectsAFailingVersionWithinFourRequests() {
         int judged = 1;
         while (!SequentialTest.exceeds(judged, judged, 0.02, ALPHA)) {
             judged++;
@@ -23,12 +23,9 @@
         assertThat(judged).isLessThanOrEqualTo(4);
     }
 
-    /**
-     * Symptom: good versions are halted because somebody looked often. Cause: a fixed-sample test
-     * repeated at every answer. Here it is looked at after each of 2,000 answers in 1,000 runs.
-     */
+    /** Guards against false positives from evaluating the test after every request. */
     @Test
-    void aVersionAtTheToleratedRateIsRarelyHaltedHoweverOftenOneLooks() {
+    void exceedsRarelyGivesAFalsePositiveWhenEvaluatedAfterEveryRequest() {
         final SplittableRandom random = new SplittableRandom(31);
         int halted = 0;
         for (int run = 0; run < 1000; run++) {
@@ -38,7 +35,7 @@
     }
 
     @Test
-    void aWorseRateIsFoundInTheEnd() {
+    void exceedsDetectsAWorseRateEventually() {
         final SplittableRandom random = new SplittableRandom(32);
         int halted = 0;
         for (int run = 0; run < 100; run++) {
@@ -51,9 +48,9 @@
             final SplittableRandom random,
             final double rate,
             final double tolerated,
-            final int answers) {
+            final int requests) {
         int bad = 0;
-        for (int judged = 1; judged <= answers; judged++) {
+        for (int judged = 1; judged <= requests; judged++) {
             bad += random.nextDouble() < rate ? 1 : 0;
             if (SequentialTest.exceeds(judged, bad, tolerated, ALPHA)) {
                 return true;
