--- a/fennelstage-core/src/main/java/org/fennelstage/configuration/Configuration.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/configuration/Configuration.java
@@ -21,7 +21,7 @@
 import org.fennelstage.team.Team;
 
 /**
- * All declarations in force at one moment. Built once per change, read by every request.
+ * A snapshot of all configuration objects. Built once per change and read by every request.
  *
  * <p>Immutable and thread-safe; lookups allocate nothing.
  */
@@ -47,7 +47,7 @@
         this.backendServers = Map.copyOf(builder.backendServers);
         this.keys = builder.keys;
         for (final ModelVersion version : new TreeMap<>(versions).values()) {
-            versionsByModel.merge(version.id().model(), List.of(version), Configuration::join);
+            versionsByModel.merge(version.id().model(), List.of(version), Configuration::concat);
         }
         for (final BackendServer server : new TreeMap<>(backendServers).values()) {
             index(server);
@@ -55,7 +55,7 @@
     }
 
     /**
-     * Returns a configuration that declares nothing.
+     * Returns a configuration without objects.
      *
      * @return the configuration
      */
@@ -64,7 +64,7 @@
     }
 
     /**
-     * Returns the digest of the table this was built from.
+     * Returns the digest of the table from which this configuration was built.
      *
      * @return the digest
      */
@@ -91,7 +91,7 @@
     }
 
     /**
-     * Returns the servers that serve a version and are not leaving.
+     * Returns the backend servers that serve a version and are not draining.
      *
      * @param version the version
      * @return the servers, ordered by id
@@ -101,7 +101,7 @@
     }
 
     /**
-     * Returns the servers of a plain service that are not leaving.
+     * Returns the backend servers of a service without a model that are not draining.
      *
      * @param service the service
      * @return the servers, ordered by id
@@ -131,21 +131,22 @@
     }
 
     /**
-     * Returns the roll-out of a model that is not aborted, if there is one.
+     * Returns the rollout of a model. If several are not aborted, the one with the lowest id
+     * applies.
      *
      * @param model the model
-     * @return the roll-out with the lowest id
+     * @return the rollout, empty if there is none that is not aborted
      */
     public Optional<Rollout> rollout(final ModelId model) {
-        Rollout found = null;
+        Rollout lowest = null;
         for (final Rollout rollout : rollouts.values()) {
             if (rollout.model().equals(model)
                     && rollout.state() != Rollout.State.ABORTED
-                    && (found == null || rollout.id().compareTo(found.id()) < 0)) {
-                found = rollout;
+                    && (lowest == null || rollout.id().compareTo(lowest.id()) < 0)) {
+                lowest = rollout;
             }
         }
-        return Optional.ofNullable(found);
+        return Optional.ofNullable(lowest);
     }
 
     private void index(final BackendServer server) {
@@ -153,19 +154,19 @@
             return;
         }
         for (final VersionId version : server.versions()) {
-            serversByVersion.merge(version, List.of(server), Configuration::join);
+            serversByVersion.merge(version, List.of(server), Configuration::concat);
         }
         server.service()
-                .ifPresent(s -> serversByService.merge(s, List.of(server), Configuration::join));
+                .ifPresent(s -> serversByService.merge(s, List.of(server), Configuration::concat));
     }
 
-    private static <T> List<T> join(final List<T> left, final List<T> right) {
+    private static <T> List<T> concat(final List<T> left, final List<T> right) {
         final List<T> all = new java.util.ArrayList<>(left);
         all.addAll(right);
         return all;
     }
 
-    /** Collects declarations. Not thread-safe. */
+    /** Builds a configuration. Not thread-safe. */
     public static final class Builder {
         private final Digest digest;
         private final Map<ProfileId, Profile> profiles = new HashMap<>();
@@ -176,9 +177,9 @@
         private KeyRing keys = KeyRing.empty();
 
         /**
-         * Starts without declarations.
+         * Creates a builder without objects.
          *
-         * @param digest the digest of the table that the declarations come from
+         * @param digest the digest of the table that holds the objects
          */
         public Builder(final Digest digest) {
             this.digest = digest;
--- a/fennelstage-core/src/main/java/org/fennelstage/configuration/ConfigurationTable.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/configuration/ConfigurationTable.java
@@ -9,16 +9,15 @@
 import java.util.TreeMap;
 
 /**
- * The newest known value of every configuration object; the merge of everything heard from the
- * object API and from peers, in any order and any number of times.
+ * The newest known value of every configuration object, merged from the store and from peer
+ * messages, which may arrive in any order and repeatedly.
  *
- * <p>Invariant: the revision held for a key never falls. Without the comparison a stale read, a
- * repeated watch answer or a late peer message would bring back an old value: an operator would see
- * a withdrawn version serving again. Tombstones are kept, since a forgotten deletion could be
- * undone the same way.
+ * <p>Invariant: the revision of a key never decreases, so a stale read, a repeated watch response
+ * or a late peer message cannot restore an old value. Tombstones are kept, so that a deletion
+ * cannot be undone either.
  *
- * <p>Law: merging is commutative, associative and idempotent. Thread-safe; one monitor guards the
- * map and the digest.
+ * <p>Invariant: merging is commutative, associative and idempotent. Thread-safe; one monitor guards
+ * the map and the digest.
  */
 public final class ConfigurationTable {
 
@@ -28,7 +27,7 @@
     private ConfigurationTable() {}
 
     /**
-     * Returns a table that holds nothing.
+     * Returns an empty table.
      *
      * @return the table
      */
@@ -40,7 +39,7 @@
      * Merges objects into the table.
      *
      * @param incoming the objects
-     * @return those that were newer than what was held, in the given order
+     * @return the objects that were newer than those in the table, in the given order
      */
     public synchronized List<StoredObject> merge(final Collection<StoredObject> incoming) {
         Objects.requireNonNull(incoming, "incoming is null");
@@ -54,7 +53,7 @@
     }
 
     /**
-     * Returns the digest of what is held.
+     * Returns the digest of the table.
      *
      * @return the digest
      */
@@ -73,7 +72,7 @@
     }
 
     /**
-     * Returns all objects held, tombstones included.
+     * Returns all objects, tombstones included.
      *
      * @return the objects, ordered by key
      */
--- a/fennelstage-core/src/main/java/org/fennelstage/configuration/Digest.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/configuration/Digest.java
@@ -1,12 +1,13 @@
 package org.fennelstage.configuration;
 
 /**
- * A summary of a configuration table: equal digests mean equal tables but for hash collisions.
+ * A digest of a configuration table. Tables with equal digests are equal, except for hash
+ * collisions.
  *
  * <p>Immutable and thread-safe.
  *
- * @param highest the highest revision held
- * @param hash the sum of the hashes of all (key, revision) pairs; independent of order
+ * @param highest the highest revision in the table
+ * @param hash the sum of the hashes of all (key, revision) pairs, independent of their order
  */
 public record Digest(Revision highest, long hash) {
 
--- a/fennelstage-core/src/main/java/org/fennelstage/configuration/ObjectKey.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/configuration/ObjectKey.java
@@ -3,23 +3,23 @@
 import java.util.Objects;
 
 /**
- * The key of an object in the object API: path segments joined by {@code '/'}.
+ * The key of an object in the store: path segments joined by {@code '/'}.
  *
  * <p>Immutable and thread-safe.
  *
- * @param path the whole path, without a leading slash
+ * @param path the full path, without a leading or trailing slash
  */
 public record ObjectKey(String path) implements Comparable<ObjectKey> {
 
     public ObjectKey {
         Objects.requireNonNull(path, "path is null");
         if (path.isEmpty() || path.startsWith("/") || path.endsWith("/")) {
-            throw new IllegalArgumentException("invalid key '" + path + "'");
+            throw new IllegalArgumentException("invalid object key '" + path + "'");
         }
     }
 
     /**
-     * Returns the key made of these segments.
+     * Returns the key with these path segments.
      *
      * @param segments the segments
      * @return the key
--- a/fennelstage-core/src/main/java/org/fennelstage/configuration/Revision.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/configuration/Revision.java
@@ -1,16 +1,16 @@
 package org.fennelstage.configuration;
 
 /**
- * The position of a write in the object API's single order of writes.
+ * The number of a write in the store's total order of writes.
  *
- * <p>Law: of two values of one key, the one with the higher revision is the newer. Immutable and
+ * <p>Invariant: of two values of one key, the one with the higher revision is newer. Immutable and
  * thread-safe.
  *
- * @param value the position; 0 stands before every write
+ * @param value the number; 0 precedes every write
  */
 public record Revision(long value) implements Comparable<Revision> {
 
-    /** Before every write. */
+    /** Precedes every write. */
     public static final Revision NONE = new Revision(0);
 
     public Revision {
@@ -20,9 +20,9 @@
     }
 
     /**
-     * Returns the revision with this position.
+     * Returns the revision with this number.
      *
-     * @param value the position
+     * @param value the number
      * @return the revision
      */
     public static Revision of(final long value) {
@@ -30,9 +30,9 @@
     }
 
     /**
-     * Tells whether this is newer than another.
+     * Tells whether this revision is newer than another.
      *
-     * @param other the other
+     * @param other the other revision
      * @return true if strictly newer
      */
     public boolean isAfter(final Revision other) {
--- a/fennelstage-core/src/main/java/org/fennelstage/configuration/StoredObject.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/configuration/StoredObject.java
@@ -4,13 +4,13 @@
 import java.util.Optional;
 
 /**
- * One value of one key as the object API holds it; without a value it is a tombstone.
+ * A revision of an object in the store; without a value it is a tombstone, which marks a deletion.
  *
- * <p>The bytes are never changed after construction. Thread-safe.
+ * <p>Immutable and thread-safe, provided that nobody changes the bytes after construction.
  *
  * @param key the key
  * @param revision the revision of the write that set or deleted the value
- * @param value the value's bytes, empty for a tombstone
+ * @param value the bytes, empty for a tombstone
  */
 public record StoredObject(ObjectKey key, Revision revision, Optional<byte[]> value) {
 
@@ -21,11 +21,11 @@
     }
 
     /**
-     * Returns a live value.
+     * Returns an object with a value.
      *
      * @param key the key
      * @param revision the revision of the write
-     * @param value the bytes, not changed afterwards
+     * @param value the bytes, not copied; they must not be changed afterwards
      * @return the object
      */
     public static StoredObject of(
--- a/fennelstage-core/src/main/java/org/fennelstage/configuration/package-info.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/configuration/package-info.java
@@ -1,2 +1,2 @@
-/** Declarations, their revisions, and the configuration in force. */
+/** Configuration objects, their revisions, and the current configuration. */
 package org.fennelstage.configuration;
--- a/fennelstage-core/src/test/java/org/fennelstage/configuration/ConfigurationTableTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/configuration/ConfigurationTableTest.java
@@ -22,18 +22,15 @@
     private static final ObjectKey KEY = ObjectKey.of("config", "versions", "pero@v1");
 
     @Test
-    void mergeOfNothingChangesNothing() {
+    void mergeOfNoObjectsChangesNothing() {
         final ConfigurationTable table = ConfigurationTable.empty();
         assertThat(table.merge(List.of())).isEmpty();
         assertThat(table.digest()).isEqualTo(Digest.EMPTY);
     }
 
-    /**
-     * Symptom: a withdrawn version serves again. Events: the withdrawal is heard, then a stale read
-     * brings the object from before. Cause: the last message heard was taken for the newest.
-     */
+    /** A stale read must not put a withdrawn version back in use. */
     @Test
-    void mergeDropsAnOlderValueHeardLater() {
+    void mergeIgnoresAnOlderValueThatArrivesLater() {
         final ConfigurationTable table = ConfigurationTable.empty();
         table.merge(List.of(object(KEY, 7, "withdrawn")));
         assertThat(table.merge(List.of(object(KEY, 5, "serving")))).isEmpty();
@@ -41,7 +38,7 @@
                 .isEqualTo("withdrawn");
     }
 
-    /** A deletion must not be undone by a late message with the value from before. */
+    /** A late message with an older value must not undo a deletion. */
     @Test
     void mergeKeepsATombstoneOverAnOlderValue() {
         final ConfigurationTable table = ConfigurationTable.empty();
@@ -51,7 +48,7 @@
     }
 
     @Property(seed = "11", tries = 300)
-    void mergeInAnyOrderAnyNumberOfTimesEndsInTheSameTable(
+    void mergeIsIndependentOfOrderAndRepetition(
             @ForAll("writes") final List<StoredObject> writes, @ForAll final int seed) {
         final List<StoredObject> shuffled = new ArrayList<>(writes);
         shuffled.addAll(writes);
@@ -65,7 +62,7 @@
     }
 
     @Property(seed = "12", tries = 300)
-    void theRevisionOfAKeyNeverFalls(@ForAll("writes") final List<StoredObject> writes) {
+    void revisionOfAKeyNeverDecreases(@ForAll("writes") final List<StoredObject> writes) {
         final ConfigurationTable table = ConfigurationTable.empty();
         final Map<ObjectKey, Revision> highest = new HashMap<>();
         for (final StoredObject write : writes) {
@@ -79,7 +76,7 @@
     }
 
     @Property(seed = "13", tries = 200)
-    void tablesThatDifferHaveDifferentDigests(@ForAll("writes") final List<StoredObject> writes) {
+    void differentTablesHaveDifferentDigests(@ForAll("writes") final List<StoredObject> writes) {
         final ConfigurationTable whole = ConfigurationTable.empty();
         whole.merge(writes);
         for (final StoredObject missing : whole.all()) {
@@ -101,7 +98,7 @@
         return write.list().ofMaxSize(30);
     }
 
-    /** One key and revision always stand for one value, as in the object API. */
+    /** Derives the value from key and revision, since in the store these identify one value. */
     private static StoredObject write(final int key, final int revision) {
         final ObjectKey objectKey = ObjectKey.of("config", "k" + key);
         return (key + revision) % 5 == 0
