--- a/fennelstage-core/src/main/java/org/fennelstage/member/Member.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/member/Member.java
@@ -5,27 +5,27 @@
 import org.fennelstage.id.VmId;
 
 /**
- * What is believed of one entry VM.
+ * A membership record: the address and state of one VM.
  *
- * <p>Law: of two beliefs the one with the higher incarnation counts, and within an incarnation the
- * worse state. Immutable and thread-safe.
+ * <p>Invariant: of two records of one VM, the one with the higher incarnation supersedes the other;
+ * within an incarnation, the one with the worse state does. Immutable and thread-safe.
  *
- * @param id the VM
- * @param dataCentre where it stands
- * @param host its IP address
- * @param port its port for peers
- * @param incarnation rises when the VM restarts or contradicts a wrong belief about itself
- * @param state whether it takes part
+ * @param id the id of the VM
+ * @param dataCentre the data centre of the VM
+ * @param host the IP address
+ * @param port the port for peer messages
+ * @param incarnation a number that rises when the VM restarts or refutes a wrong record of itself
+ * @param state the state of the VM
  */
 public record Member(
         VmId id, DataCentreId dataCentre, String host, int port, long incarnation, State state) {
 
-    /** Whether a VM takes part; later constants are worse. */
+    /** The state of a VM, from best to worst. */
     public enum State {
         ALIVE,
-        /** Goes on with what it has but takes no duties. */
+        /** Draining: finishes its requests and takes no duties. */
         LEAVING,
-        /** Did not answer; believed dead unless it contradicts in time. */
+        /** Did not respond to probes; declared dead unless it refutes this in time. */
         SUSPECT,
         DEAD
     }
@@ -38,10 +38,10 @@
     }
 
     /**
-     * Tells whether this belief replaces another about the same VM.
+     * Tells whether this record supersedes another of the same VM.
      *
-     * @param other the other
-     * @return true if this one counts
+     * @param other the other record
+     * @return true if this record supersedes the other
      */
     public boolean supersedes(final Member other) {
         if (incarnation != other.incarnation) {
@@ -51,10 +51,10 @@
     }
 
     /**
-     * Returns this belief with another state.
+     * Returns a copy of this record with another state.
      *
      * @param next the state
-     * @return the belief
+     * @return the copy
      */
     public Member withState(final State next) {
         return new Member(id, dataCentre, host, port, incarnation, next);
--- a/fennelstage-core/src/main/java/org/fennelstage/member/MemberTable.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/member/MemberTable.java
@@ -15,43 +15,45 @@
 import org.fennelstage.id.VmId;
 
 /**
- * The entry VMs as one of them sees them: its own data centre in full, a few contacts in each
- * other.
+ * The VMs known to this VM: all of its own data centre and a few contacts in each other one.
  *
- * <p>Failure detection follows SWIM: each period one VM is probed, directly and then through
- * others; one that answers neither is suspected, and dead if it does not contradict in time.
- * Changes travel on the probes. So the messages per VM do not grow with their number.
+ * <p>Failure detection and dissemination follow the SWIM protocol: in each period one VM is probed,
+ * first directly and then indirectly through other VMs. A VM that responds to neither becomes a
+ * suspect, and is declared dead unless it refutes this in time. Membership updates are piggybacked
+ * on the probes, so the number of messages per VM does not grow with the number of VMs.
  *
- * <p>Invariants: beliefs change only as {@link Member#supersedes} allows; the own VM is never
- * believed worse than it is, since a wrong belief is answered with a higher incarnation.
- * Thread-safe; one monitor guards all state.
+ * <p>Invariant: a record is replaced only as {@link Member#supersedes} allows; this VM refutes
+ * every record that shows it in a worse state by raising its incarnation. Thread-safe; one monitor
+ * guards all state.
  */
 public final class MemberTable {
 
-    /** Enough to reach another data centre while two of its VMs are replaced at once. */
-    static final int CONTACTS_PER_REMOTE_DATA_CENTRE = 3;
+    /** Keeps another data centre reachable while two of its VMs are replaced at once. */
+    static final int MAX_CONTACTS_PER_REMOTE_DATA_CENTRE = 3;
 
-    private static final int NEWS_COPIES = 8;
-    private static final int MAX_NEWS_PER_MESSAGE = 8;
+    /** The number of peer messages that carry each update. */
+    private static final int TRANSMISSIONS_PER_UPDATE = 8;
+
+    private static final int MAX_UPDATES_PER_MESSAGE = 8;
 
     private final InstantSource clock;
     private final RandomGenerator random;
-    private final Duration suspicion;
-    private final Duration retention;
+    private final Duration suspicionTimeout;
+    private final Duration deadRetention;
     private final Map<VmId, Entry> others = new HashMap<>();
     private final List<VmId> probeOrder = new ArrayList<>();
     private Member self;
-    private int selfNews = NEWS_COPIES;
+    private int selfTransmissionsLeft = TRANSMISSIONS_PER_UPDATE;
 
     private static final class Entry {
         private Member member;
         private long sinceMillis;
-        private int newsLeft;
+        private int transmissionsLeft;
 
         Entry(final Member member, final long sinceMillis) {
             this.member = member;
             this.sinceMillis = sinceMillis;
-            this.newsLeft = NEWS_COPIES;
+            this.transmissionsLeft = TRANSMISSIONS_PER_UPDATE;
         }
     }
 
@@ -59,29 +61,30 @@
             final Member self,
             final InstantSource clock,
             final RandomGenerator random,
-            final Duration suspicion) {
+            final Duration suspicionTimeout) {
         this.self = Objects.requireNonNull(self, "self is null");
         this.clock = Objects.requireNonNull(clock, "clock is null");
         this.random = Objects.requireNonNull(random, "random is null");
-        this.suspicion = Objects.requireNonNull(suspicion, "suspicion is null");
-        this.retention = suspicion.multipliedBy(20);
+        this.suspicionTimeout =
+                Objects.requireNonNull(suspicionTimeout, "suspicionTimeout is null");
+        this.deadRetention = suspicionTimeout.multipliedBy(20);
     }
 
     /**
-     * Returns a table that knows only its own VM.
+     * Returns a table that holds only this VM.
      *
-     * @param self the own VM
+     * @param self the record of this VM
      * @param clock the clock
-     * @param random chooses whom to probe
-     * @param suspicion how long a suspect has to contradict
+     * @param random chooses the VMs to probe
+     * @param suspicionTimeout the time within which a suspect must refute its suspicion
      * @return the table
      */
     public static MemberTable of(
             final Member self,
             final InstantSource clock,
             final RandomGenerator random,
-            final Duration suspicion) {
-        return new MemberTable(self, clock, random, suspicion);
+            final Duration suspicionTimeout) {
+        return new MemberTable(self, clock, random, suspicionTimeout);
     }
 
     public synchronized Member self() {
@@ -89,28 +92,28 @@
     }
 
     /**
-     * Merges beliefs heard from a peer.
+     * Merges membership updates from a peer.
      *
-     * @param beliefs the beliefs
-     * @return those that changed what is believed here
+     * @param updates the records
+     * @return the records that changed this table
      */
-    public synchronized List<Member> merge(final Collection<Member> beliefs) {
+    public synchronized List<Member> merge(final Collection<Member> updates) {
         final List<Member> changed = new ArrayList<>();
-        for (final Member belief : beliefs) {
-            if (belief.id().equals(self.id())) {
-                contradict(belief);
-            } else if (accept(belief)) {
-                changed.add(belief);
+        for (final Member update : updates) {
+            if (update.id().equals(self.id())) {
+                refute(update);
+            } else if (accept(update)) {
+                changed.add(update);
             }
         }
         return changed;
     }
 
     /**
-     * Notes that a VM answered neither directly nor through others.
+     * Marks a VM as suspect after it responded to neither direct nor indirect probes.
      *
-     * @param id the VM
-     * @return the new belief, empty if it was suspect or dead already
+     * @param id the id of the VM
+     * @return the new record, empty if the VM is unknown or was suspect or dead already
      */
     public synchronized Optional<Member> suspect(final VmId id) {
         final Entry entry = others.get(id);
@@ -121,16 +124,17 @@
     }
 
     /**
-     * Declares suspects dead whose time is up, and forgets the long dead.
+     * Declares suspects dead after the suspicion timeout, and removes records of VMs that have been
+     * dead for long.
      *
-     * @return those declared dead
+     * @return the records of the VMs that were declared dead
      */
     public synchronized List<Member> expire() {
         final long now = clock.millis();
         final List<Member> dead = new ArrayList<>();
         for (final Entry entry : others.values()) {
-            final boolean due = now - entry.sinceMillis >= suspicion.toMillis();
-            if (entry.member.state() == Member.State.SUSPECT && due) {
+            final boolean timedOut = now - entry.sinceMillis >= suspicionTimeout.toMillis();
+            if (entry.member.state() == Member.State.SUSPECT && timedOut) {
                 dead.add(change(entry, entry.member.withState(Member.State.DEAD)));
             }
         }
@@ -138,12 +142,12 @@
                 .removeIf(
                         e ->
                                 e.member.state() == Member.State.DEAD
-                                        && now - e.sinceMillis >= retention.toMillis());
+                                        && now - e.sinceMillis >= deadRetention.toMillis());
         return dead;
     }
 
     /**
-     * Returns whom to probe next: every VM known, in random order, each once a round.
+     * Returns the VM to probe next. Each round covers every known VM once, in random order.
      *
      * @return the VM, empty if no other is known
      */
@@ -165,14 +169,14 @@
     }
 
     /**
-     * Returns VMs of the own data centre that can probe another in our stead.
+     * Returns random VMs of this data centre that can probe a VM on behalf of this one.
      *
-     * @param target whom they are to probe
-     * @param count how many at most
+     * @param target the VM to probe
+     * @param count the maximum number of VMs to return
      * @return the VMs
      */
     public synchronized List<Member> indirectProbers(final VmId target, final int count) {
-        final List<Member> found =
+        final List<Member> probers =
                 new ArrayList<>(
                         others.values().stream()
                                 .map(e -> e.member)
@@ -181,42 +185,42 @@
                                 .filter(m -> !m.id().equals(target))
                                 .sorted(Comparator.comparing(Member::id))
                                 .toList());
-        shuffle(found);
-        return List.copyOf(found.subList(0, Math.min(count, found.size())));
+        shuffle(probers);
+        return List.copyOf(probers.subList(0, Math.min(count, probers.size())));
     }
 
     /**
-     * Returns the beliefs to send along with the next message, the freshest first.
+     * Returns the updates to piggyback on the next peer message, those sent least often first. Each
+     * call counts as one transmission of every update returned.
      *
-     * @return the beliefs
+     * @return the records
      */
     public synchronized List<Member> nextUpdates() {
-        final List<Member> news = new ArrayList<>();
-        if (selfNews > 0) {
-            selfNews--;
-            news.add(self);
+        final List<Member> updates = new ArrayList<>();
+        if (selfTransmissionsLeft > 0) {
+            selfTransmissionsLeft--;
+            updates.add(self);
         }
         others.values().stream()
-                .filter(e -> e.newsLeft > 0)
-                .sorted(Comparator.comparingInt((Entry e) -> -e.newsLeft))
-                .limit(MAX_NEWS_PER_MESSAGE)
+                .filter(e -> e.transmissionsLeft > 0)
+                .sorted(Comparator.comparingInt((Entry e) -> -e.transmissionsLeft))
+                .limit(MAX_UPDATES_PER_MESSAGE)
                 .forEach(
                         e -> {
-                            e.newsLeft--;
-                            news.add(e.member);
+                            e.transmissionsLeft--;
+                            updates.add(e.member);
                         });
-        return news;
+        return updates;
     }
 
-    /** Declares that the own VM is leaving. */
+    /** Marks this VM as draining. */
     public synchronized void startDraining() {
         self = self.withIncarnation(self.incarnation() + 1).withState(Member.State.LEAVING);
-        selfNews = NEWS_COPIES;
+        selfTransmissionsLeft = TRANSMISSIONS_PER_UPDATE;
     }
 
     /**
-     * Returns the VMs of the own data centre that take duties, the own one included unless it is
-     * leaving.
+     * Returns the VMs of this data centre that take duties, this VM included unless it is draining.
      *
      * @return the VMs, ordered by id
      */
@@ -239,7 +243,7 @@
     /**
      * Returns the known VMs of other data centres that are not dead.
      *
-     * @return the VMs by data centre
+     * @return the VMs, by data centre
      */
     public synchronized Map<DataCentreId, List<Member>> remoteMembers() {
         final Map<DataCentreId, List<Member>> remotes = new HashMap<>();
@@ -254,19 +258,19 @@
     }
 
     /**
-     * Returns the belief about another VM.
+     * Returns the record of another VM.
      *
-     * @param id the VM
-     * @return the belief, empty if unknown
+     * @param id the id of the VM
+     * @return the record, empty if unknown
      */
     public synchronized Optional<Member> find(final VmId id) {
         return Optional.ofNullable(others.get(id)).map(e -> e.member);
     }
 
     /**
-     * Returns the beliefs about all VMs, the own one included.
+     * Returns the records of all VMs, this one included.
      *
-     * @return the beliefs, ordered by id
+     * @return the records, ordered by id
      */
     public synchronized List<Member> all() {
         final List<Member> all = new ArrayList<>();
@@ -276,51 +280,52 @@
         return all;
     }
 
-    private void contradict(final Member belief) {
-        // Others may hold us dead after a pause, or remember an incarnation before a restart whose
-        // clock stood ahead. Without an answer we would serve but never get duties again.
-        final boolean wrong =
-                belief.incarnation() > self.incarnation()
-                        || (belief.incarnation() == self.incarnation()
-                                && belief.state().compareTo(self.state()) > 0);
-        if (wrong) {
-            self = self.withIncarnation(belief.incarnation() + 1);
-            selfNews = NEWS_COPIES;
+    private void refute(final Member update) {
+        // Peers may have declared this VM dead during a pause, or know a higher incarnation from
+        // before a restart if the clock was ahead. Unless refuted, this VM would get no more
+        // duties.
+        final boolean mustRefute =
+                update.incarnation() > self.incarnation()
+                        || (update.incarnation() == self.incarnation()
+                                && update.state().compareTo(self.state()) > 0);
+        if (mustRefute) {
+            self = self.withIncarnation(update.incarnation() + 1);
+            selfTransmissionsLeft = TRANSMISSIONS_PER_UPDATE;
         }
     }
 
-    private boolean accept(final Member belief) {
-        final Entry entry = others.get(belief.id());
+    private boolean accept(final Member update) {
+        final Entry entry = others.get(update.id());
         if (entry != null) {
-            if (!belief.supersedes(entry.member)) {
+            if (!update.supersedes(entry.member)) {
                 return false;
             }
-            change(entry, belief);
+            change(entry, update);
             return true;
         }
-        if (!hasRoomFor(belief)) {
+        if (!canAdd(update)) {
             return false;
         }
-        others.put(belief.id(), new Entry(belief, clock.millis()));
+        others.put(update.id(), new Entry(update, clock.millis()));
         return true;
     }
 
-    private boolean hasRoomFor(final Member belief) {
-        if (belief.dataCentre().equals(self.dataCentre())) {
+    private boolean canAdd(final Member update) {
+        if (update.dataCentre().equals(self.dataCentre())) {
             return true;
         }
         final long known =
                 others.values().stream()
-                        .filter(e -> e.member.dataCentre().equals(belief.dataCentre()))
+                        .filter(e -> e.member.dataCentre().equals(update.dataCentre()))
                         .filter(e -> e.member.state() != Member.State.DEAD)
                         .count();
-        return belief.state() != Member.State.DEAD && known < CONTACTS_PER_REMOTE_DATA_CENTRE;
+        return update.state() != Member.State.DEAD && known < MAX_CONTACTS_PER_REMOTE_DATA_CENTRE;
     }
 
     private Member change(final Entry entry, final Member next) {
         entry.member = next;
         entry.sinceMillis = clock.millis();
-        entry.newsLeft = NEWS_COPIES;
+        entry.transmissionsLeft = TRANSMISSIONS_PER_UPDATE;
         return next;
     }
 
--- a/fennelstage-core/src/main/java/org/fennelstage/member/Rendezvous.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/member/Rendezvous.java
@@ -8,27 +8,30 @@
 import org.fennelstage.id.VmId;
 
 /**
- * Assigns duties to VMs by highest random weight: all who know the same VMs choose the same one,
- * and a VM that goes or comes moves only its own duties. Stateless and thread-safe.
+ * Assigns duties to VMs by rendezvous hashing (highest random weight). VMs that know the same
+ * members choose the same one, and adding or removing a VM reassigns only the duties of that VM.
+ * Stateless and thread-safe.
  */
 public final class Rendezvous {
 
-    /** The finalizer of MurmurHash3: each bit of the input changes each bit of the result. */
+    /**
+     * Constants of the finalizer of MurmurHash3, in which each input bit affects each output bit.
+     */
     private static final long FIRST_FACTOR = 0xff51afd7ed558ccdL;
 
     private static final long SECOND_FACTOR = 0xc4ceb9fe1a85ec53L;
-    private static final int HALF_BITS = 33;
+    private static final int SHIFT = 33;
 
-    /** Keeps key and name apart: of two equal hashes nothing would be left. */
+    /** Multiplies the hash of the name, so that equal hashes of key and name do not cancel out. */
     private static final long GOLDEN_RATIO = 0x9e3779b97f4a7c15L;
 
     private Rendezvous() {}
 
     /**
-     * Returns the VM that has a duty.
+     * Returns the VM to which a duty is assigned.
      *
-     * @param duty names the duty
-     * @param candidates the VMs
+     * @param duty the name of the duty
+     * @param candidates the VMs to choose from
      * @return the VM, empty without candidates
      */
     public static Optional<VmId> choose(final String duty, final Collection<VmId> candidates) {
@@ -36,10 +39,10 @@
     }
 
     /**
-     * Returns the candidates in the order in which they take over a duty.
+     * Returns the candidates in the order in which a duty is assigned to them.
      *
-     * @param duty names the duty
-     * @param candidates the VMs
+     * @param duty the name of the duty
+     * @param candidates the VMs to choose from
      * @return the VMs, first choice first
      */
     public static List<VmId> rank(final String duty, final Collection<VmId> candidates) {
@@ -68,8 +71,8 @@
     }
 
     /**
-     * Returns the weight of a name for a key by their hashes. Where one key is weighed against many
-     * names, each name is read once and not once for each key.
+     * Returns the weight of a name for a key, given their hashes. Callers that weigh many keys
+     * against the same names can hash each name once.
      *
      * @param keyHash the hash of the key
      * @param nameHash the hash of the name
@@ -77,9 +80,9 @@
      */
     public static long weight(final long keyHash, final long nameHash) {
         long mixed = keyHash ^ (nameHash * GOLDEN_RATIO);
-        mixed = (mixed ^ (mixed >>> HALF_BITS)) * FIRST_FACTOR;
-        mixed = (mixed ^ (mixed >>> HALF_BITS)) * SECOND_FACTOR;
-        return mixed ^ (mixed >>> HALF_BITS);
+        mixed = (mixed ^ (mixed >>> SHIFT)) * FIRST_FACTOR;
+        mixed = (mixed ^ (mixed >>> SHIFT)) * SECOND_FACTOR;
+        return mixed ^ (mixed >>> SHIFT);
     }
 
     private static Comparator<VmId> order(final String duty) {
--- a/fennelstage-core/src/main/java/org/fennelstage/member/package-info.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/member/package-info.java
@@ -1,2 +1,2 @@
-/** The entry VMs as one of them sees them, and who has which duty. */
+/** Membership and failure detection of VMs, and the assignment of duties to them. */
 package org.fennelstage.member;
--- a/fennelstage-core/src/test/java/org/fennelstage/member/MemberTableTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/member/MemberTableTest.java
@@ -23,13 +23,13 @@
                     Duration.ofSeconds(3));
 
     @Test
-    void aTableAloneHasItsOwnDuties() {
+    void aSingleVmTakesAllDutiesAndProbesNobody() {
         assertThat(table.dutyVms()).containsExactly(VmId.of("a"));
         assertThat(table.nextProbe()).isEmpty();
     }
 
     @Test
-    void mergeTakesTheWorseStateOfOneIncarnationAndAnyStateOfALaterOne() {
+    void mergeKeepsTheWorseStateWithinAnIncarnationAndAnyStateOfAHigherOne() {
         table.merge(List.of(member("b", "dc-0", 1, Member.State.DEAD)));
         table.merge(List.of(member("b", "dc-0", 1, Member.State.ALIVE)));
         assertThat(table.dutyVms()).containsExactly(VmId.of("a"));
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void aSuspectIsDeadAfterItsTimeAndForgottenLater() {
+    void expireDeclaresASuspectDeadAfterTheTimeoutAndRemovesItLater() {
         table.merge(List.of(member("b", "dc-0", 1, Member.State.ALIVE)));
         assertThat(table.suspect(VmId.of("b"))).isPresent();
         assertThat(table.expire()).isEmpty();
@@ -49,12 +49,9 @@
         assertThat(table.find(VmId.of("b"))).isEmpty();
     }
 
-    /**
-     * Symptom: a VM that was paused serves but never gets duties again. Events: it is paused, the
-     * others declare it dead, it wakes. Cause: its own old incarnation cannot outweigh "dead".
-     */
+    /** A VM that peers declared dead during a pause must become eligible for duties again. */
     @Test
-    void aVmThatHearsOfItsOwnDeathContradictsWithAHigherIncarnation() {
+    void mergeRefutesADeadRecordOfThisVmWithAHigherIncarnation() {
         table.merge(List.of(member("a", "dc-0", 5, Member.State.DEAD)));
         assertThat(table.self().incarnation()).isEqualTo(6);
         assertThat(table.self().state()).isEqualTo(Member.State.ALIVE);
@@ -62,23 +59,23 @@
     }
 
     @Test
-    void aFewContactsOfEachOtherDataCentreAreKept() {
+    void mergeLimitsTheContactsPerRemoteDataCentre() {
         for (int i = 0; i < 10; i++) {
             table.merge(List.of(member("r" + i, "dc-1", 1, Member.State.ALIVE)));
         }
         assertThat(table.remoteMembers().get(DataCentreId.of("dc-1")))
-                .hasSize(MemberTable.CONTACTS_PER_REMOTE_DATA_CENTRE);
+                .hasSize(MemberTable.MAX_CONTACTS_PER_REMOTE_DATA_CENTRE);
         assertThat(table.dutyVms()).containsExactly(VmId.of("a"));
     }
 
     @Test
-    void aLeavingVmHasNoDuties() {
+    void aDrainingVmTakesNoDuties() {
         table.startDraining();
         assertThat(table.dutyVms()).isEmpty();
     }
 
     @Test
-    void everyVmIsProbedOnceARound() {
+    void nextProbeReturnsEachVmOncePerRound() {
         for (int i = 0; i < 5; i++) {
             table.merge(List.of(member("b" + i, "dc-0", 1, Member.State.ALIVE)));
         }
@@ -92,16 +89,16 @@
         assertThat(round).doesNotHaveDuplicates();
     }
 
-    /** A VM that goes must not move the duties of those that stay. */
+    /** Removing a VM must not reassign the duties of the remaining ones. */
     @Test
-    void aDutyMovesOnlyIfItsHolderGoes() {
+    void aDutyIsReassignedOnlyIfItsHolderIsRemoved() {
         final List<VmId> all = List.of(VmId.of("a"), VmId.of("b"), VmId.of("c"), VmId.of("d"));
         for (int duty = 0; duty < 50; duty++) {
             final VmId holder = Rendezvous.choose("duty-" + duty, all).get();
-            for (final VmId gone : all) {
-                final List<VmId> rest = all.stream().filter(v -> !v.equals(gone)).toList();
-                if (!gone.equals(holder)) {
-                    assertThat(Rendezvous.choose("duty-" + duty, rest)).contains(holder);
+            for (final VmId removed : all) {
+                final List<VmId> remaining = all.stream().filter(v -> !v.equals(removed)).toList();
+                if (!removed.equals(holder)) {
+                    assertThat(Rendezvous.choose("duty-" + duty, remaining)).contains(holder);
                 }
             }
         }
