--- a/fennelstage-core/src/main/java/org/fennelstage/model/ModelVersion.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/model/ModelVersion.java
@@ -4,23 +4,23 @@
 import org.fennelstage.id.VersionId;
 
 /**
- * One version of a model and what may be sent to it.
+ * A version of a model and the state that decides which requests it gets.
  *
  * <p>Immutable and thread-safe.
  *
- * @param id the version
- * @param state what it may be given
- * @param costPerThousandTokens the price in the operators' unit of account
+ * @param id the id of the version
+ * @param state the state set by operators
+ * @param costPerThousandTokens the cost of 1,000 tokens, in the operators' unit
  */
 public record ModelVersion(VersionId id, State state, double costPerThousandTokens) {
 
-    /** What a version may be given. */
+    /** The requests that a version gets. */
     public enum State {
-        /** New sessions and requests. */
+        /** All requests, including those that open sessions. */
         SERVING,
-        /** Requests of sessions that began on it, nothing else. */
+        /** Only requests of sessions that began on it. */
         DRAINING,
-        /** Nothing. */
+        /** No requests. */
         WITHDRAWN
     }
 
@@ -28,33 +28,34 @@
         Objects.requireNonNull(id, "id is null");
         Objects.requireNonNull(state, "state is null");
         if (!(costPerThousandTokens >= 0)) {
-            throw new IllegalArgumentException("version " + id + ": negative cost");
+            throw new IllegalArgumentException(
+                    "version " + id + " has a negative cost: " + costPerThousandTokens);
         }
     }
 
     /**
-     * Tells whether a request without a session may go to this version.
+     * Tells whether this version accepts requests that do not belong to a session.
      *
-     * @return true while serving
+     * @return true if it is serving
      */
     public boolean acceptsNew() {
         return state == State.SERVING;
     }
 
     /**
-     * Tells whether a request of a session that began on this version may go to it.
+     * Tells whether this version accepts requests of sessions that began on it.
      *
-     * @return true unless withdrawn
+     * @return true unless it is withdrawn
      */
     public boolean acceptsSession() {
         return state != State.WITHDRAWN;
     }
 
     /**
-     * Returns this version in another state.
+     * Returns a copy of this version in another state.
      *
      * @param next the state
-     * @return the version
+     * @return the copy
      */
     public ModelVersion withState(final State next) {
         return new ModelVersion(id, next, costPerThousandTokens);
--- a/fennelstage-core/src/main/java/org/fennelstage/model/VersionChooser.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/model/VersionChooser.java
@@ -12,27 +12,27 @@
 import org.fennelstage.team.Team;
 
 /**
- * Chooses the version on which a request runs.
+ * Chooses the version that runs a request.
  *
- * <p>Laws: the version's model is one that the team may use; a withdrawn version is never chosen; a
- * draining one only for a session that began on it; a session's request is never moved to another
- * version. Stateless and thread-safe.
+ * <p>Invariant: the team may use the model of the chosen version; a withdrawn version is never
+ * chosen, a draining one only for a session that began on it; all requests of a session run on the
+ * same version. Stateless and thread-safe.
  */
 public final class VersionChooser {
 
     private VersionChooser() {}
 
-    /** What was chosen. Immutable and thread-safe. */
+    /** The result of a choice. Immutable and thread-safe. */
     public sealed interface Choice {
 
         /**
          * The request runs on this version.
          *
          * @param version the version
-         * @param runningRollout the roll-out whose candidate may be used instead, if it grants a
-         *     share
-         * @param completedRollout the completed roll-out whose candidate this is; its answers go on
-         *     being judged, since a version that passed may still turn bad
+         * @param runningRollout the rollout whose new version may run the request instead, if it
+         *     grants the request
+         * @param completedRollout the completed rollout whose new version this is; its responses
+         *     are still judged, to detect a later degradation
          */
         record Chosen(
                 ModelVersion version,
@@ -47,27 +47,27 @@
         }
 
         /**
-         * The request does not run.
+         * The request is rejected.
          *
-         * @param outcome what the caller is told
+         * @param outcome the outcome sent to the caller
          */
         record Rejected(Outcome.NotRun outcome) implements Choice {}
     }
 
-    /** What is known of a roll-out's progress on this VM. */
+    /** The progress of rollouts as known to this VM. */
     @FunctionalInterface
     public interface Progress {
 
         /**
-         * Returns how far a roll-out got.
+         * Returns the status of a rollout.
          *
-         * @param rollout the roll-out
+         * @param rollout the rollout
          * @return the status
          */
         Status status(Rollout rollout);
     }
 
-    /** How far a roll-out got. */
+    /** The status of a rollout. */
     public enum Status {
         RUNNING,
         HALTED,
@@ -75,13 +75,13 @@
     }
 
     /**
-     * Chooses for a request without a session.
+     * Chooses the version for a request without a session.
      *
-     * @param configuration what is in force
-     * @param team who asks
-     * @param model the model that is to answer
-     * @param progress how far roll-outs got
-     * @return the choice
+     * @param configuration the current configuration
+     * @param team the team that sent the request
+     * @param model the requested model
+     * @param progress the progress of rollouts
+     * @return the version, or a rejection
      */
     public static Choice choose(
             final Configuration configuration,
@@ -89,37 +89,37 @@
             final ModelId model,
             final Progress progress) {
         if (!team.models().contains(model)) {
-            return refuse(Reason.FORBIDDEN, "team " + team.id() + " may not use model " + model);
+            return reject(Reason.FORBIDDEN, "team " + team.id() + " may not use model " + model);
         }
         final Optional<Rollout> rollout = configuration.rollout(model);
         final Status status = rollout.map(progress::status).orElse(Status.RUNNING);
-        final Optional<VersionId> unproven =
+        final Optional<VersionId> excluded =
                 rollout.filter(r -> status != Status.DONE).map(Rollout::candidate);
-        final Optional<ModelVersion> proven =
+        final Optional<ModelVersion> current =
                 rollout.filter(r -> status == Status.DONE)
                         .flatMap(r -> serving(configuration, r.candidate()))
                         .or(() -> rollout.flatMap(r -> serving(configuration, r.proven())))
-                        .or(() -> anyServing(configuration, model, unproven));
-        if (proven.isEmpty()) {
-            return refuse(Reason.NO_BACKEND, "no version of model " + model + " serves");
+                        .or(() -> anyServing(configuration, model, excluded));
+        if (current.isEmpty()) {
+            return reject(Reason.NO_BACKEND, "no version of model " + model + " is serving");
         }
-        final Optional<Rollout> trial =
+        final Optional<Rollout> runningRollout =
                 rollout.filter(r -> status == Status.RUNNING)
                         .filter(r -> r.state() == Rollout.State.RUNNING)
                         .filter(r -> serving(configuration, r.candidate()).isPresent());
-        final Optional<Rollout> watched =
-                rollout.filter(r -> r.candidate().equals(proven.get().id()));
-        return new Choice.Chosen(proven.get(), trial, watched);
+        final Optional<Rollout> completedRollout =
+                rollout.filter(r -> r.candidate().equals(current.get().id()));
+        return new Choice.Chosen(current.get(), runningRollout, completedRollout);
     }
 
     /**
-     * Chooses for a request of a session: its version, or a refusal.
+     * Chooses the version for a request of a session.
      *
-     * @param configuration what is in force
-     * @param team who asks
+     * @param configuration the current configuration
+     * @param team the team that sent the request
      * @param session the session
-     * @param progress how far roll-outs got
-     * @return the choice
+     * @param progress the progress of rollouts
+     * @return the version of the session, or a rejection
      */
     public static Choice choose(
             final Configuration configuration,
@@ -128,22 +128,22 @@
             final Progress progress) {
         final VersionId id = session.version();
         if (!session.team().equals(team.id())) {
-            return refuse(Reason.INVALID_SESSION, "the session belongs to another team");
+            return reject(Reason.INVALID_SESSION, "the session belongs to another team");
         }
         if (!team.models().contains(id.model())) {
-            return refuse(
+            return reject(
                     Reason.FORBIDDEN, "team " + team.id() + " may not use model " + id.model());
         }
         final Optional<ModelVersion> version =
                 configuration.version(id).filter(ModelVersion::acceptsSession);
-        final boolean foundBad =
+        final boolean isHalted =
                 configuration
                         .rollout(id.model())
                         .filter(r -> r.candidate().equals(id))
                         .filter(r -> progress.status(r) == Status.HALTED)
                         .isPresent();
-        if (version.isEmpty() || foundBad) {
-            return refuse(
+        if (version.isEmpty() || isHalted) {
+            return reject(
                     Reason.SESSION_VERSION_WITHDRAWN,
                     "the session's version " + id + " is withdrawn; begin a new session");
         }
@@ -158,14 +158,14 @@
     private static Optional<ModelVersion> anyServing(
             final Configuration configuration,
             final ModelId model,
-            final Optional<VersionId> unproven) {
+            final Optional<VersionId> excluded) {
         return configuration.versions(model).stream()
                 .filter(ModelVersion::acceptsNew)
-                .filter(v -> unproven.filter(v.id()::equals).isEmpty())
+                .filter(v -> excluded.filter(v.id()::equals).isEmpty())
                 .findFirst();
     }
 
-    private static Choice refuse(final Reason reason, final String detail) {
+    private static Choice reject(final Reason reason, final String detail) {
         return new Choice.Rejected(Outcome.notRun(reason, detail));
     }
 }
--- a/fennelstage-core/src/main/java/org/fennelstage/model/package-info.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/model/package-info.java
@@ -1,2 +1,2 @@
-/** Versions of models and the choice of one. */
+/** Versions of models, and the choice of the version that runs a request. */
 package org.fennelstage.model;
--- a/fennelstage-core/src/test/java/org/fennelstage/model/VersionChooserTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/model/VersionChooserTest.java
@@ -36,7 +36,7 @@
                     Tolerance.DEFAULT);
 
     @Test
-    void chooseRefusesAModelThatTheTeamMayNotUse() {
+    void chooseRejectsAModelThatTheTeamMayNotUse() {
         final VersionChooser.Choice choice =
                 VersionChooser.choose(
                         configuration(ModelVersion.State.SERVING, ModelVersion.State.SERVING),
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void chooseTakesTheProvenVersionAndOffersTheCandidate() {
+    void chooseReturnsTheCurrentVersionAndTheRunningRollout() {
         final VersionChooser.Choice.Chosen chosen =
                 chosen(
                         ModelVersion.State.SERVING,
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void chooseOffersNoHaltedCandidate() {
+    void chooseReturnsNoHaltedRollout() {
         final VersionChooser.Choice.Chosen chosen =
                 chosen(
                         ModelVersion.State.SERVING,
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void chooseTakesTheCandidateOnceTheRolloutIsDone() {
+    void chooseReturnsTheNewVersionOnceTheRolloutIsDone() {
         assertThat(
                         chosen(
                                         ModelVersion.State.SERVING,
@@ -80,9 +80,12 @@
                 .isEqualTo(V2);
     }
 
-    /** With the proven version withdrawn, its unproven successor must not take its place. */
+    /**
+     * If the current version is withdrawn, the new version of a running rollout must not replace
+     * it.
+     */
     @Test
-    void chooseNeverFallsBackToAnUnprovenCandidate() {
+    void chooseNeverFallsBackToTheNewVersionOfARunningRollout() {
         final VersionChooser.Choice choice =
                 VersionChooser.choose(
                         configuration(ModelVersion.State.WITHDRAWN, ModelVersion.State.SERVING),
@@ -93,7 +96,7 @@
     }
 
     @Test
-    void chooseKeepsASessionOnItsDrainingVersionAndRefusesAWithdrawnOne() {
+    void chooseKeepsASessionOnItsDrainingVersionAndRejectsAWithdrawnOne() {
         assertThat(sessionChoice(ModelVersion.State.DRAINING, VersionChooser.Status.RUNNING))
                 .isInstanceOf(VersionChooser.Choice.Chosen.class);
         assertThat(
@@ -105,20 +108,20 @@
     }
 
     @Test
-    void chooseRefusesASessionOnACandidateThatWasFoundBad() {
+    void chooseRejectsASessionOnTheNewVersionOfAHaltedRollout() {
         assertThat(reason(sessionChoice(ModelVersion.State.SERVING, VersionChooser.Status.HALTED)))
                 .isEqualTo(Reason.SESSION_VERSION_WITHDRAWN);
     }
 
     @Test
-    void chooseRefusesTheSessionOfAnotherTeam() {
-        final Session foreign =
+    void chooseRejectsTheSessionOfAnotherTeam() {
+        final Session sessionOfAnotherTeam =
                 new Session(SessionId.of("s"), TeamId.of("others"), ProfileId.of("draft"), V2);
         final VersionChooser.Choice choice =
                 VersionChooser.choose(
                         configuration(ModelVersion.State.SERVING, ModelVersion.State.SERVING),
                         team(Set.of(PERO)),
-                        foreign,
+                        sessionOfAnotherTeam,
                         r -> VersionChooser.Status.RUNNING);
         assertThat(reason(choice)).isEqualTo(Reason.INVALID_SESSION);
     }
@@ -133,12 +136,15 @@
     }
 
     private static VersionChooser.Choice.Chosen chosen(
-            final ModelVersion.State first,
-            final ModelVersion.State second,
+            final ModelVersion.State currentState,
+            final ModelVersion.State newState,
             final VersionChooser.Status status) {
         return (VersionChooser.Choice.Chosen)
                 VersionChooser.choose(
-                        configuration(first, second), team(Set.of(PERO)), PERO, r -> status);
+                        configuration(currentState, newState),
+                        team(Set.of(PERO)),
+                        PERO,
+                        r -> status);
     }
 
     private static Reason reason(final VersionChooser.Choice choice) {
@@ -146,10 +152,10 @@
     }
 
     private static Configuration configuration(
-            final ModelVersion.State first, final ModelVersion.State second) {
+            final ModelVersion.State currentState, final ModelVersion.State newState) {
         return new Configuration.Builder(Digest.EMPTY)
-                .add(new ModelVersion(V1, first, 1))
-                .add(new ModelVersion(V2, second, 1))
+                .add(new ModelVersion(V1, currentState, 1))
+                .add(new ModelVersion(V2, newState, 1))
                 .add(ROLLOUT)
                 .build();
     }
@@ -159,7 +165,7 @@
     }
 
     @Test
-    void configurationPrefersTheRolloutWithTheLowestId() {
+    void configurationReturnsTheRolloutOfAModel() {
         assertThat(
                         configuration(ModelVersion.State.SERVING, ModelVersion.State.SERVING)
                                 .rollout(PERO))
