--- a/fennelstage-core/src/main/java/org/fennelstage/session/InvalidTokenException.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/session/InvalidTokenException.java
@@ -1,6 +1,6 @@
 package org.fennelstage.session;
 
-/** A session token that no key of the ring signed. */
+/** Thrown when a session token is malformed or not signed by a key of the key ring. */
 public final class InvalidTokenException extends Exception {
 
     private static final long serialVersionUID = 1L;
--- a/fennelstage-core/src/main/java/org/fennelstage/session/Session.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/session/Session.java
@@ -7,14 +7,14 @@
 import org.fennelstage.id.VersionId;
 
 /**
- * A sequence of requests that stays on one version from start to finish.
+ * A sequence of requests that all run on one version of a model.
  *
  * <p>Immutable and thread-safe.
  *
- * @param id the session
+ * @param id the id of the session
  * @param team the team it belongs to
- * @param profile the profile it was opened on
- * @param version the version it keeps
+ * @param profile the profile with which it was opened
+ * @param version the version that runs its requests
  */
 public record Session(SessionId id, TeamId team, ProfileId profile, VersionId version) {
 
--- a/fennelstage-core/src/main/java/org/fennelstage/session/SessionTokens.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/session/SessionTokens.java
@@ -15,11 +15,12 @@
 import org.fennelstage.id.VersionId;
 
 /**
- * Signs sessions into tokens and reads them back, so that any VM in any data centre honours a
- * session without a lookup, also after the VM that opened it is gone and with the platform down.
+ * Encodes sessions as signed tokens and decodes them. Any VM in any data centre can verify a token
+ * without a lookup, also after the VM that opened the session has stopped or while the store is
+ * unavailable.
  *
- * <p>Law: {@code verify(ring, sign(ring, s))} is {@code s}; any other text is refused. Stateless
- * and thread-safe.
+ * <p>Invariant: {@code verify(ring, sign(ring, s))} returns {@code s}; any other text is rejected.
+ * Stateless and thread-safe.
  */
 public final class SessionTokens {
 
@@ -30,7 +31,7 @@
     private SessionTokens() {}
 
     /**
-     * Signs a session with the current key.
+     * Encodes a session as a token signed with the current key.
      *
      * @param ring the keys
      * @param session the session
@@ -47,18 +48,18 @@
     }
 
     /**
-     * Reads a token.
+     * Verifies and decodes a token.
      *
      * @param ring the keys
      * @param token the token
      * @return the session
-     * @throws InvalidTokenException if the token is not one that a key of the ring signed
+     * @throws InvalidTokenException if the token is malformed or not signed by a key of the ring
      */
     public static Session verify(final KeyRing ring, final String token)
             throws InvalidTokenException {
         final int dot = token.indexOf('.');
         if (dot < 0) {
-            throw new InvalidTokenException("not a session token");
+            throw new InvalidTokenException("malformed session token: no signature");
         }
         final String body = token.substring(0, dot);
         final String[] fields = decode(body);
@@ -67,9 +68,9 @@
             throw new InvalidTokenException("session token signed by an unknown key");
         }
         final byte[] expected = mac(secret, body).getBytes(StandardCharsets.US_ASCII);
-        final byte[] found = token.substring(dot + 1).getBytes(StandardCharsets.UTF_8);
-        if (!MessageDigest.isEqual(expected, found)) {
-            throw new InvalidTokenException("session token has a wrong signature");
+        final byte[] actual = token.substring(dot + 1).getBytes(StandardCharsets.UTF_8);
+        if (!MessageDigest.isEqual(expected, actual)) {
+            throw new InvalidTokenException("session token has an invalid signature");
         }
         return new Session(
                 SessionId.of(fields[1]),
@@ -97,11 +98,15 @@
         try {
             plain = new String(Base64.getUrlDecoder().decode(body), StandardCharsets.UTF_8);
         } catch (final IllegalArgumentException e) {
-            throw new InvalidTokenException("session token is not base64");
+            throw new InvalidTokenException("malformed session token: not base64url");
         }
         final String[] fields = plain.split(SEPARATOR, -1);
         if (fields.length != FIELDS) {
-            throw new InvalidTokenException("session token has a wrong form");
+            throw new InvalidTokenException(
+                    "malformed session token: expected "
+                            + FIELDS
+                            + " fields, found "
+                            + fields.length);
         }
         return fields;
     }
@@ -114,7 +119,8 @@
                     .withoutPadding()
                     .encodeToString(mac.doFinal(body.getBytes(StandardCharsets.US_ASCII)));
         } catch (final NoSuchAlgorithmException | InvalidKeyException e) {
-            throw new IllegalStateException("every Java platform has " + ALGORITHM, e);
+            throw new IllegalStateException(
+                    "cannot compute " + ALGORITHM + ", which every Java platform supports", e);
         }
     }
 }
--- a/fennelstage-core/src/main/java/org/fennelstage/session/package-info.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/session/package-info.java
@@ -1,2 +1,2 @@
-/** Sessions and their tokens. */
+/** Sessions and session tokens. */
 package org.fennelstage.session;
--- a/fennelstage-core/src/test/java/org/fennelstage/session/SessionTokensTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/session/SessionTokensTest.java
@@ -25,12 +25,12 @@
                     VersionId.of("pero", "v1"));
 
     @Test
-    void signGivesNothingWithoutACurrentKey() {
+    void signReturnsNothingWithoutACurrentKey() {
         assertThat(SessionTokens.sign(KeyRing.empty(), SESSION)).isEmpty();
     }
 
     @Test
-    void verifyReturnsWhatWasSigned() throws InvalidTokenException {
+    void verifyReturnsTheSignedSession() throws InvalidTokenException {
         final String token = SessionTokens.sign(RING, SESSION).orElseThrow();
         assertThat(SessionTokens.verify(RING, token)).isEqualTo(SESSION);
     }
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void verifyRefusesAKeyThatLeftTheRing() {
+    void verifyRejectsAKeyThatWasRemovedFromTheRing() {
         final String token = SessionTokens.sign(RING, SESSION).orElseThrow();
         assertThatThrownBy(() -> SessionTokens.verify(KeyRing.of("k2", "other"), token))
                 .isInstanceOf(InvalidTokenException.class)
@@ -52,12 +52,12 @@
     }
 
     @Property(seed = "21", tries = 400)
-    void verifyRefusesEveryTokenWithAFlippedBit(
+    void verifyRejectsEveryTokenWithAFlippedBit(
             @ForAll @IntRange(min = 0, max = 10_000) final int position,
             @ForAll @IntRange(min = 0, max = 6) final int bit) {
         final char[] token = SessionTokens.sign(RING, SESSION).orElseThrow().toCharArray();
-        final int at = position % token.length;
-        token[at] ^= (char) (1 << bit);
+        final int index = position % token.length;
+        token[index] ^= (char) (1 << bit);
         assertThatThrownBy(() -> SessionTokens.verify(RING, new String(token)))
                 .isInstanceOf(InvalidTokenException.class);
     }
