--- a/fennelstage-core/src/main/java/org/fennelstage/limit/TokenBucket.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/limit/TokenBucket.java
@@ -6,9 +6,10 @@
 import java.util.Optional;
 
 /**
- * Bounds a rate.
+ * Limits a rate with a token bucket.
  *
- * <p>Invariant: over any time t at most {@code burst + rate * t} are admitted. Thread-safe.
+ * <p>Invariant: in any interval of {@code t} seconds at most {@code burst + rate * t} tokens are
+ * taken. Thread-safe.
  */
 public final class TokenBucket {
 
@@ -18,22 +19,22 @@
     private double rate;
     private double burst;
     private double available;
-    private long lastMillis;
+    private long lastRefillMillis;
 
     private TokenBucket(final InstantSource clock, final double rate, final double burst) {
         this.clock = Objects.requireNonNull(clock, "clock is null");
         this.rate = rate;
         this.burst = burst;
         this.available = burst;
-        this.lastMillis = clock.millis();
+        this.lastRefillMillis = clock.millis();
     }
 
     /**
      * Returns a full bucket.
      *
      * @param clock the clock
-     * @param rate admissions per second
-     * @param burst admissions at once
+     * @param rate the refill rate, in tokens per second
+     * @param burst the capacity, in tokens
      * @return the bucket
      */
     public static TokenBucket of(final InstantSource clock, final double rate, final double burst) {
@@ -41,10 +42,10 @@
     }
 
     /**
-     * Changes the bounds.
+     * Changes the refill rate and the capacity; tokens above the new capacity are discarded.
      *
-     * @param newRate admissions per second
-     * @param newBurst admissions at once
+     * @param newRate the refill rate, in tokens per second
+     * @param newBurst the capacity, in tokens
      */
     public synchronized void resize(final double newRate, final double newBurst) {
         refill();
@@ -54,9 +55,9 @@
     }
 
     /**
-     * Asks for one admission.
+     * Takes a token if one is available.
      *
-     * @return empty if admitted, else when to come back
+     * @return empty if a token was taken, else the time until the next is available
      */
     public synchronized Optional<Duration> tryTake() {
         refill();
@@ -70,8 +71,8 @@
 
     private void refill() {
         final long now = clock.millis();
-        final double elapsed = Math.max(0, now - lastMillis) / MILLIS_PER_SECOND;
+        final double elapsed = Math.max(0, now - lastRefillMillis) / MILLIS_PER_SECOND;
         available = Math.min(burst, available + elapsed * rate);
-        lastMillis = now;
+        lastRefillMillis = now;
     }
 }
--- a/fennelstage-core/src/main/java/org/fennelstage/limit/package-info.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/limit/package-info.java
@@ -1,2 +1,2 @@
-/** Bounds on rates. */
+/** Rate limits. */
 package org.fennelstage.limit;
--- a/fennelstage-core/src/test/java/org/fennelstage/limit/TokenBucketTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/limit/TokenBucketTest.java
@@ -14,7 +14,7 @@
     private final InstantSource clock = () -> now;
 
     @Test
-    void tryTakeAdmitsTheBurstAndThenTellsWhenToComeBack() {
+    void tryTakeAllowsTheBurstAndThenReturnsTheTimeToWait() {
         final TokenBucket bucket = TokenBucket.of(clock, 2, 3);
         for (int i = 0; i < 3; i++) {
             assertThat(bucket.tryTake()).isEmpty();
@@ -26,16 +26,16 @@
     }
 
     @Test
-    void resizeToASmallerBurstTakesTheExcessAway() {
+    void resizeToASmallerBurstDiscardsTheExcess() {
         final TokenBucket bucket = TokenBucket.of(clock, 1, 100);
         bucket.resize(1, 1);
         assertThat(bucket.tryTake()).isEmpty();
         assertThat(bucket.tryTake()).isPresent();
     }
 
-    /** A clock that steps back must neither admit nor block for ever. */
+    /** A clock that steps back must neither add tokens nor block permanently. */
     @Test
-    void aClockThatStepsBackAddsNothing() {
+    void refillAddsNothingWhenTheClockStepsBack() {
         final TokenBucket bucket = TokenBucket.of(clock, 1, 1);
         bucket.tryTake();
         now = now.minusSeconds(3600);
