--- a/fennelstage-core/src/main/java/org/fennelstage/history/Position.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/history/Position.java
@@ -5,25 +5,24 @@
 /**
  * A position in the store's history of writes: an era and a revision.
  *
- * <p>A store that comes back from an older copy begins a new era. Its revisions go back and are
- * given out again, so that a revision alone names two different states: compared without its era, a
- * new order looks older than one long known and is ignored, and a watch from a revision that was
- * given out again misses everything in between without a sign of it.
+ * <p>A store that is restored from an older copy begins a new era and assigns the lost revisions
+ * again, so the same revision can name two different writes. Without the era, a new order could
+ * appear older than a known one and be ignored, and a watch could silently miss writes.
  *
- * <p>Laws: positions are ordered by their era, then by their revision; {@code a.reaches(b)} holds
- * only within one era. Immutable and thread-safe.
+ * <p>Invariant: positions are ordered by era, then by revision; {@code a.reaches(b)} is true only
+ * within one era. Immutable and thread-safe.
  *
  * <pre>{@code
  * Position.of(2, 70).isAfter(Position.of(1, 100))  // true
- * Position.of(2, 70).reaches(Position.of(1, 60))   // false: 60 may have been lost
+ * Position.of(2, 70).reaches(Position.of(1, 60))   // false: revision 60 of era 1 may be lost
  * }</pre>
  *
- * @param era how often the store has come back from a copy, as it counts itself; 0 if it does not
+ * @param era the era, which rises with each restore from a copy; 0 if the store has no eras
  * @param revision the number of the write within its era
  */
 public record Position(long era, long revision) implements Comparable<Position> {
 
-    /** Before every write of every era. */
+    /** Precedes every write of every era. */
     public static final Position NONE = new Position(-1, -1);
 
     private static final Comparator<Position> ORDER =
@@ -43,7 +42,7 @@
     /**
      * Tells whether this position is after another.
      *
-     * @param other the other
+     * @param other the other position
      * @return true if strictly after
      */
     public boolean isAfter(final Position other) {
@@ -51,21 +50,21 @@
     }
 
     /**
-     * Tells whether whoever knows everything up to this position knows what was written at another.
+     * Tells whether everything written up to this position includes the write at another position.
      *
-     * @param other the other
-     * @return true if both are of one era and the other is not after this one; what a former era
-     *     wrote may be lost, and tells nothing of this one
+     * @param other the other position
+     * @return true if both are of one era and the other is not after this one; false across eras,
+     *     since writes of an earlier era may be lost
      */
     public boolean reaches(final Position other) {
         return era == other.era && revision >= other.revision;
     }
 
     /**
-     * Tells whether this position is of an era that has ended when another is known.
+     * Tells whether the era of this position is before the era of another.
      *
-     * @param other the other
-     * @return true if the other is of a later era
+     * @param other the other position
+     * @return true if the other position is of a later era
      */
     public boolean isOfFormerEra(final Position other) {
         return era < other.era;
@@ -76,7 +75,7 @@
         return ORDER.compare(this, other);
     }
 
-    /** Returns the position as logs show it: era, slash, revision. */
+    /** Returns {@code era/revision}, the form used in logs. */
     @Override
     public String toString() {
         return era + "/" + revision;
--- a/fennelstage-core/src/main/java/org/fennelstage/history/package-info.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/history/package-info.java
@@ -1,2 +1,2 @@
-/** Where in the store's history something was said, also across the store's return from a copy. */
+/** Positions in the store's history, comparable across restores of the store from a copy. */
 package org.fennelstage.history;
--- a/fennelstage-core/src/test/java/org/fennelstage/history/PositionTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/history/PositionTest.java
@@ -10,14 +10,14 @@
 class PositionTest {
 
     @Test
-    void aLowerRevisionOfALaterEraIsAfterAHigherOneOfAFormerEra() {
+    void positionOfALaterEraIsAfterAHigherRevisionOfAnEarlierEra() {
         assertThat(Position.of(2, 70).isAfter(Position.of(1, 100))).isTrue();
         assertThat(Position.of(1, 100).isOfFormerEra(Position.of(2, 70))).isTrue();
         assertThat(Position.of(2, 70)).hasToString("2/70");
     }
 
     @Test
-    void whoKnowsAllOfOneEraKnowsNothingOfAnother() {
+    void reachesOnlyPositionsOfTheSameEra() {
         assertThat(Position.of(2, 70).reaches(Position.of(1, 60))).isFalse();
         assertThat(Position.of(2, 70).reaches(Position.of(3, 60))).isFalse();
         assertThat(Position.of(2, 70).reaches(Position.of(2, 70))).isTrue();
@@ -25,7 +25,7 @@
     }
 
     @Property(tries = 300)
-    void ofTwoPositionsOneIsAfterTheOtherOrTheyAreEqual(
+    void positionsAreTotallyOrdered(
             @ForAll @LongRange(min = 0, max = 3) final long era,
             @ForAll @LongRange(min = 0, max = 3) final long otherEra,
             @ForAll @LongRange(min = 0, max = 5) final long revision,
