--- a/fennelstage-bench/src/main/java/org/fennelstage/bench/engine/PlayedRequest.java
+++ b/fennelstage-bench/src/main/java/org/fennelstage/bench/engine/PlayedRequest.java
@@ -115,7 +115,7 @@
         vm.pace(model).onFirstByte((long) (play.clockwork().now() - sent), promptTokens);
         final int opinion = opinion(spec(model));
         noteOpinion(model, opinion);
-        final Optional<ModelId> better = plan.better(OptionalInt.of(opinion), m -> true);
+        final Optional<ModelId> better = plan.nextModel(OptionalInt.of(opinion), m -> true);
         if (better.isPresent()) {
             release();
             plan.escalate(better.get());
@@ -130,7 +130,7 @@
             firstOpinion = Optional.of(opinion);
             firstModel = Optional.of(model);
         } else {
-            vm.opinions(kind).onBoth(firstModel.orElseThrow(), firstOpinion.get(), model, opinion);
+            vm.opinions(kind).observe(firstModel.orElseThrow(), firstOpinion.get(), model, opinion);
         }
     }
 
--- a/fennelstage-bench/src/main/java/org/fennelstage/bench/engine/PlayedVm.java
+++ b/fennelstage-bench/src/main/java/org/fennelstage/bench/engine/PlayedVm.java
@@ -15,7 +15,7 @@
 import org.fennelstage.id.VmId;
 import org.fennelstage.placement.Placement;
 import org.fennelstage.policy.Mechanism;
-import org.fennelstage.sizing.Opinions;
+import org.fennelstage.sizing.ConfidenceGains;
 import org.fennelstage.time.MonotonicClock;
 
 /** One VM's beliefs and decisions in a play. Confined to it. */
@@ -34,7 +34,7 @@
     private final Placement placement;
     private final List<TrackedServer> servers;
     private final Map<ModelId, Pace> paces = new HashMap<>();
-    private final Map<Kind, Opinions> opinions = new HashMap<>();
+    private final Map<Kind, ConfidenceGains> opinions = new HashMap<>();
 
     PlayedVm(final Play play, final VmId id, final DataCentreId dataCentre, final long seed) {
         this.play = play;
@@ -72,8 +72,8 @@
         return paces.computeIfAbsent(model, m -> new Pace());
     }
 
-    Opinions opinions(final Kind kind) {
-        return opinions.computeIfAbsent(kind, k -> Opinions.empty());
+    ConfidenceGains opinions(final Kind kind) {
+        return opinions.computeIfAbsent(kind, k -> ConfidenceGains.empty());
     }
 
     Map<BackendServerId, Load> loads() {
--- a/fennelstage-core/src/main/java/org/fennelstage/sizing/Opinions.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/sizing/ConfidenceGains.java
@@ -15,7 +15,7 @@
  *
  * <p>Law: the chance never falls as the opinion rises. Not thread-safe.
  */
-public final class Opinions {
+public final class ConfidenceGains {
 
     /** Opinion at which an answer is as likely good as not. */
     static final int EVEN = 50;
@@ -49,15 +49,15 @@
 
     private final Map<Pair, Gain> gains = new HashMap<>();
 
-    private Opinions() {}
+    private ConfidenceGains() {}
 
     /**
      * Returns opinions of which nothing was learnt.
      *
      * @return the opinions
      */
-    public static Opinions empty() {
-        return new Opinions();
+    public static ConfidenceGains empty() {
+        return new ConfidenceGains();
     }
 
     /**
@@ -68,7 +68,7 @@
      * @param larger the larger model
      * @param then its opinion, 0 to 100
      */
-    public void onBoth(
+    public void observe(
             final ModelId smaller, final int opinion, final ModelId larger, final int then) {
         if (isCutOff(opinion) || isCutOff(then)) {
             return;
@@ -101,6 +101,6 @@
 
     @Override
     public String toString() {
-        return "Opinions[" + gains.size() + "]";
+        return "ConfidenceGains[" + gains.size() + "]";
     }
 }
--- a/fennelstage-core/src/main/java/org/fennelstage/sizing/SizePlan.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/sizing/SizePlan.java
@@ -16,8 +16,8 @@
  * <p>A small model costs a fraction of a large one and takes a fraction of a worker's time, and its
  * answer comes with its own opinion of it. So a request is asked of the smallest model first, while
  * nothing has gone to the caller. If that one doubts its answer, the smallest of the others that
- * will likely do is asked, as far as the opinion tells ({@link Opinions}); the largest if none
- * will.
+ * will likely do is asked, as far as the opinion tells ({@link ConfidenceGains}); the largest if
+ * none will.
  *
  * <p>It gains the price of the large models where a small one will do, and their time for requests
  * that need them, at a little worth of the answers that a small model takes for good.
@@ -31,12 +31,12 @@
      * takes ten times a small one's time, which others wait for; an answer that is more likely good
      * than not is worth more.
      */
-    private static final int ACCEPTED_BEFORE_LARGEST = Opinions.EVEN;
+    private static final int ACCEPTED_BEFORE_LARGEST = ConfidenceGains.EVEN;
 
     /**
-     * Opinion from which an answer is taken where a middle model will likely do. Opinions are wrong
-     * by some ten points: of answers with 50 to 60 nearly a third are not good enough, and a middle
-     * model costs a quarter of the largest.
+     * Opinion from which an answer is taken where a middle model will likely do. ConfidenceGains
+     * are wrong by some ten points: of answers with 50 to 60 nearly a third are not good enough,
+     * and a middle model costs a quarter of the largest.
      */
     private static final int ACCEPTED_BEFORE_MIDDLE = 60;
 
@@ -47,13 +47,13 @@
     private static final double WORTH_ASKING = 0.5;
 
     private final List<ModelId> sizes;
-    private final Opinions opinions;
+    private final ConfidenceGains opinions;
     private final boolean usesMiddle;
     private int present;
 
     private SizePlan(
             final List<ModelId> sizes,
-            final Opinions opinions,
+            final ConfidenceGains opinions,
             final boolean usesMiddle,
             final int first) {
         this.sizes = sizes;
@@ -70,7 +70,8 @@
      * @param policy whether small models are asked first, and middle ones at all
      * @return the plan; without sizes if the caller named the model
      */
-    public static SizePlan of(final Route route, final Opinions opinions, final Policy policy) {
+    public static SizePlan of(
+            final Route route, final ConfidenceGains opinions, final Policy policy) {
         Objects.requireNonNull(opinions, "opinions is null");
         final List<ModelId> sizes = route.sizes();
         final boolean smallFirst = route.repeatable() && policy.uses(Mechanism.SMALL_FIRST);
@@ -98,14 +99,14 @@
      *     answer that is in doubt is worth more than one that comes too late
      * @return the model, empty if the answer is to be taken
      */
-    public Optional<ModelId> better(final OptionalInt opinion, final Predicate<ModelId> inTime) {
+    public Optional<ModelId> nextModel(final OptionalInt opinion, final Predicate<ModelId> inTime) {
         if (opinion.isEmpty() || isLargest()) {
             return Optional.empty();
         }
-        return better(opinion.getAsInt()).filter(inTime);
+        return nextModel(opinion.getAsInt()).filter(inTime);
     }
 
-    private Optional<ModelId> better(final int value) {
+    private Optional<ModelId> nextModel(final int value) {
         final Optional<ModelId> middle = middle(value);
         if (middle.isPresent()) {
             return middle.filter(m -> value < ACCEPTED_BEFORE_MIDDLE);
--- a/fennelstage-core/src/test/java/org/fennelstage/sizing/OpinionsTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/sizing/ConfidenceGainsTest.java
@@ -8,7 +8,7 @@
 import org.fennelstage.id.ModelId;
 import org.junit.jupiter.api.Test;
 
-class OpinionsTest {
+class ConfidenceGainsTest {
 
     private static final ModelId SMALL = ModelId.of("small");
     private static final ModelId MIDDLE = ModelId.of("middle");
@@ -17,9 +17,9 @@
     void theChanceNeverFallsAsTheOpinionRises(
             @ForAll @IntRange(max = 99) final int opinion,
             @ForAll @IntRange(max = 100) final int then) {
-        final Opinions opinions = Opinions.empty();
+        final ConfidenceGains opinions = ConfidenceGains.empty();
         for (int i = 0; i < 20; i++) {
-            opinions.onBoth(SMALL, 30, MIDDLE, then);
+            opinions.observe(SMALL, 30, MIDDLE, then);
         }
         assertThat(opinions.chance(SMALL, opinion + 1, MIDDLE))
                 .isGreaterThanOrEqualTo(opinions.chance(SMALL, opinion, MIDDLE));
@@ -27,21 +27,21 @@
 
     @Test
     void theGainOfALargerModelIsLearnt() {
-        final Opinions opinions = Opinions.empty();
+        final ConfidenceGains opinions = ConfidenceGains.empty();
         assertThat(opinions.chance(SMALL, 20, MIDDLE)).isLessThan(0.1);
         for (int i = 0; i < 200; i++) {
-            opinions.onBoth(SMALL, 20, MIDDLE, 70);
+            opinions.observe(SMALL, 20, MIDDLE, 70);
         }
         assertThat(opinions.chance(SMALL, 20, MIDDLE)).isGreaterThan(0.9);
     }
 
     @Test
     void opinionsAtTheEndOfTheScaleTeachNothing() {
-        final Opinions opinions = Opinions.empty();
+        final ConfidenceGains opinions = ConfidenceGains.empty();
         final double before = opinions.chance(SMALL, 20, MIDDLE);
         for (int i = 0; i < 200; i++) {
-            opinions.onBoth(SMALL, 0, MIDDLE, 90);
-            opinions.onBoth(SMALL, 60, MIDDLE, 100);
+            opinions.observe(SMALL, 0, MIDDLE, 90);
+            opinions.observe(SMALL, 60, MIDDLE, 100);
         }
         assertThat(opinions.chance(SMALL, 20, MIDDLE)).isEqualTo(before);
     }
--- a/fennelstage-core/src/test/java/org/fennelstage/sizing/SizePlanTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/sizing/SizePlanTest.java
@@ -38,32 +38,32 @@
 
     private static SizePlan plan() {
         return SizePlan.of(
-                route(true, List.of(SMALL, MIDDLE, LARGE)), Opinions.empty(), Policy.all());
+                route(true, List.of(SMALL, MIDDLE, LARGE)), ConfidenceGains.empty(), Policy.all());
     }
 
     @Test
     void theSmallestModelIsAskedFirstAndItsAnswerTakenIfItBelievesInIt() {
         final SizePlan plan = plan();
         assertThat(plan.model()).contains(SMALL);
-        assertThat(plan.better(OptionalInt.of(80), m -> true)).isEmpty();
+        assertThat(plan.nextModel(OptionalInt.of(80), m -> true)).isEmpty();
     }
 
     @Test
     void anAnswerThatTheSmallestModelDoubtsIsAskedOfTheLargest() {
         final SizePlan plan = plan();
-        assertThat(plan.better(OptionalInt.of(20), m -> true)).contains(LARGE);
+        assertThat(plan.nextModel(OptionalInt.of(20), m -> true)).contains(LARGE);
         plan.escalate(LARGE);
         assertThat(plan.model()).contains(LARGE);
-        assertThat(plan.better(OptionalInt.of(20), m -> true)).isEmpty();
+        assertThat(plan.nextModel(OptionalInt.of(20), m -> true)).isEmpty();
     }
 
     @Test
     void anAnswerThatTheSmallestModelNearlyBelievesInIsAskedOfTheMiddleOne() {
         final SizePlan plan = plan();
-        assertThat(plan.better(OptionalInt.of(45), m -> true)).contains(MIDDLE);
+        assertThat(plan.nextModel(OptionalInt.of(45), m -> true)).contains(MIDDLE);
         plan.escalate(MIDDLE);
-        assertThat(plan.better(OptionalInt.of(60), m -> true)).isEmpty();
-        assertThat(plan.better(OptionalInt.of(40), m -> true)).contains(LARGE);
+        assertThat(plan.nextModel(OptionalInt.of(60), m -> true)).isEmpty();
+        assertThat(plan.nextModel(OptionalInt.of(40), m -> true)).contains(LARGE);
     }
 
     /**
@@ -73,11 +73,11 @@
      */
     @Test
     void aMiddlingOpinionIsNotTakenWhereAMiddleModelWillDo() {
-        assertThat(plan().better(OptionalInt.of(55), m -> true)).contains(MIDDLE);
+        assertThat(plan().nextModel(OptionalInt.of(55), m -> true)).contains(MIDDLE);
         final Route withoutMiddle = route(true, List.of(SMALL, LARGE));
         assertThat(
-                        SizePlan.of(withoutMiddle, Opinions.empty(), Policy.all())
-                                .better(OptionalInt.of(55), m -> true))
+                        SizePlan.of(withoutMiddle, ConfidenceGains.empty(), Policy.all())
+                                .nextModel(OptionalInt.of(55), m -> true))
                 .isEmpty();
     }
 
@@ -88,7 +88,7 @@
      */
     @Test
     void anAnswerIsTakenIfNoLargerModelCanBeInTime() {
-        assertThat(plan().better(OptionalInt.of(20), m -> !m.equals(LARGE))).isEmpty();
+        assertThat(plan().nextModel(OptionalInt.of(20), m -> !m.equals(LARGE))).isEmpty();
     }
 
     /**
@@ -97,13 +97,13 @@
      */
     @Test
     void aMiddleModelThatGainsNothingIsSoonLeftOut() {
-        final Opinions opinions = Opinions.empty();
+        final ConfidenceGains opinions = ConfidenceGains.empty();
         for (int i = 0; i < 60; i++) {
-            opinions.onBoth(SMALL, 40, MIDDLE, 41);
+            opinions.observe(SMALL, 40, MIDDLE, 41);
         }
         final SizePlan plan =
                 SizePlan.of(route(true, List.of(SMALL, MIDDLE, LARGE)), opinions, Policy.all());
-        assertThat(plan.better(OptionalInt.of(40), m -> true)).contains(LARGE);
+        assertThat(plan.nextModel(OptionalInt.of(40), m -> true)).contains(LARGE);
     }
 
     /**
@@ -113,14 +113,16 @@
     @Test
     void aRequestThatMustNotBeRepeatedAsksOneModelOnly() {
         final SizePlan plan =
-                SizePlan.of(route(false, List.of(SMALL, LARGE)), Opinions.empty(), Policy.all());
+                SizePlan.of(
+                        route(false, List.of(SMALL, LARGE)), ConfidenceGains.empty(), Policy.all());
         assertThat(plan.model()).contains(LARGE);
     }
 
     @Test
     void withoutSizesTheCallersModelStays() {
-        final SizePlan plan = SizePlan.of(route(true, List.of()), Opinions.empty(), Policy.all());
+        final SizePlan plan =
+                SizePlan.of(route(true, List.of()), ConfidenceGains.empty(), Policy.all());
         assertThat(plan.model()).isEmpty();
-        assertThat(plan.better(OptionalInt.empty(), m -> true)).isEmpty();
+        assertThat(plan.nextModel(OptionalInt.empty(), m -> true)).isEmpty();
     }
 }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Beliefs.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Beliefs.java
@@ -29,7 +29,7 @@
 import org.fennelstage.serving.Service;
 import org.fennelstage.serving.ServingConfiguration;
 import org.fennelstage.serving.WarmUp;
-import org.fennelstage.sizing.Opinions;
+import org.fennelstage.sizing.ConfidenceGains;
 import org.fennelstage.time.MonotonicClock;
 
 /**
@@ -63,7 +63,7 @@
     private final Map<ServiceName, RepeatBudget> budgets = new HashMap<>();
     private final Map<String, UsualFailures> usualFailures = new HashMap<>();
     private final Map<String, Pace> paces = new HashMap<>();
-    private final Map<String, Opinions> opinions = new HashMap<>();
+    private final Map<String, ConfidenceGains> opinions = new HashMap<>();
     private Optional<ServingConfiguration> configuration = Optional.empty();
     private int vmCount;
     private Position ordersKnownTo = Position.NONE;
@@ -155,8 +155,8 @@
     }
 
     /** Returns what models' opinions tell on a route; requests of a kind are alike. */
-    Opinions opinions(final String route) {
-        return opinions.computeIfAbsent(route, r -> Opinions.empty());
+    ConfidenceGains opinions(final String route) {
+        return opinions.computeIfAbsent(route, r -> ConfidenceGains.empty());
     }
 
     private double ownSlack() {
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/ModelChoice.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/ModelChoice.java
@@ -6,7 +6,7 @@
 import java.util.function.Predicate;
 import org.fennelstage.id.ModelId;
 import org.fennelstage.serving.Route;
-import org.fennelstage.sizing.Opinions;
+import org.fennelstage.sizing.ConfidenceGains;
 import org.fennelstage.sizing.SizePlan;
 
 /**
@@ -19,16 +19,16 @@
     private record Opinion(ModelId model, int value) {}
 
     private final SizePlan sizes;
-    private final Opinions opinions;
+    private final ConfidenceGains opinions;
     private Optional<Opinion> first = Optional.empty();
 
-    private ModelChoice(final SizePlan sizes, final Opinions opinions) {
+    private ModelChoice(final SizePlan sizes, final ConfidenceGains opinions) {
         this.sizes = sizes;
         this.opinions = opinions;
     }
 
     static ModelChoice of(final Route route, final Gateway gateway) {
-        final Opinions opinions = gateway.beliefs().opinions(route.name());
+        final ConfidenceGains opinions = gateway.beliefs().opinions(route.name());
         return new ModelChoice(SizePlan.of(route, opinions, gateway.policy()), opinions);
     }
 
@@ -49,7 +49,7 @@
         if (opinion.isPresent() && sizes.model().isPresent()) {
             learn(new Opinion(sizes.model().get(), opinion.getAsInt()));
         }
-        return sizes.better(opinion, inTime);
+        return sizes.nextModel(opinion, inTime);
     }
 
     void escalate(final ModelId model) {
@@ -62,7 +62,7 @@
             first = Optional.of(now);
         } else if (!first.get().model().equals(now.model())) {
             final Opinion before = first.get();
-            opinions.onBoth(before.model(), before.value(), now.model(), now.value());
+            opinions.observe(before.model(), before.value(), now.model(), now.value());
         }
     }
 }
