--- a/fennelstage-bench/src/main/java/org/fennelstage/bench/engine/PlayedRequest.java
+++ b/fennelstage-bench/src/main/java/org/fennelstage/bench/engine/PlayedRequest.java
@@ -167,7 +167,7 @@
     private void noteRead() {
         if (!read) {
             read = true;
-            server.onRead(readMillis);
+            server.onPromptRead(readMillis);
         }
     }
 
--- a/fennelstage-core/src/main/java/org/fennelstage/fleet/ConnectionShare.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/fleet/ConnectionShare.java
@@ -12,7 +12,7 @@
  * each knows of all others. Immutable and thread-safe.
  *
  * <pre>{@code
- * new ConnectionShare(440, 64).mostIdle()  // 3
+ * new ConnectionShare(440, 64).maxIdleConnections()  // 3
  * }</pre>
  *
  * @param accepted how many connections the worker accepts from all VMs together
@@ -37,7 +37,7 @@
      *
      * @return the count, 0 if each call is to have a connection of its own
      */
-    public int mostIdle() {
+    public int maxIdleConnections() {
         final int sharers = vms > 0 ? vms : VMS_UNTIL_KNOWN;
         return Math.min(MOST, (int) (accepted * KEPT_PART / sharers));
     }
--- a/fennelstage-core/src/main/java/org/fennelstage/fleet/Departures.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/fleet/Departures.java
@@ -66,7 +66,7 @@
     }
 
     /** Notes that the store has come back from an older copy. */
-    void onStoreReplaced() {
+    void onStoreRestored() {
         doubtUntilMillis = clock.millis() + DOUBT_MILLIS;
     }
 
@@ -81,7 +81,7 @@
         if (entry.incarnation().equals(leavingByOwnWord.get(entry.id()))) {
             return entry.asLeaving();
         }
-        if (entry.leaving()) {
+        if (entry.draining()) {
             left.put(entry.id(), entry.incarnation());
             return entry;
         }
--- a/fennelstage-core/src/main/java/org/fennelstage/fleet/Eligibility.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/fleet/Eligibility.java
@@ -20,7 +20,7 @@
  * <p>While the store is away nobody hears that a worker has started again and is cold. A worker
  * that was out of reach a moment ago is then taken for one that has.
  *
- * <p>Law: {@code mayGet(s)} is {@code wait(s)} being zero. Not thread-safe.
+ * <p>Law: {@code isEligible(s)} is {@code wait(s)} being zero. Not thread-safe.
  */
 public final class Eligibility {
 
@@ -28,10 +28,10 @@
      * Why workers may get no request now.
      *
      * @param evacuated how many stand in data centres that are being emptied
-     * @param cold how many are cold, and this VM has used up its share
-     * @param wantNothing how many want nothing from this VM
+     * @param warmingUp how many are cold, and this VM has used up its share
+     * @param rejecting how many want nothing from this VM
      */
-    public record Reasons(int evacuated, int cold, int wantNothing) {}
+    public record Reasons(int evacuated, int warmingUp, int rejecting) {}
 
     private final Evacuations evacuations;
     private final WarmUpShares shares;
@@ -63,7 +63,7 @@
      * @param server the worker
      * @return true if nothing speaks against it
      */
-    public boolean mayGet(final TrackedServer server) {
+    public boolean isEligible(final TrackedServer server) {
         final boolean nothingIsUp = evacuations.size() == 0 && !storeAway.getAsBoolean();
         if (nothingIsUp && server.isUnrestricted()) {
             return true;
@@ -81,7 +81,7 @@
         if (evacuations.includes(server.entry().dataCentre())) {
             return Optional.empty();
         }
-        final Duration wanted = server.wantsNothingFor();
+        final Duration wanted = server.rejectsFor();
         final Duration cold = whileCold(server);
         return Optional.of(wanted.compareTo(cold) > 0 ? wanted : cold);
     }
@@ -99,9 +99,9 @@
         for (final TrackedServer server : servers) {
             if (evacuations.includes(server.entry().dataCentre())) {
                 evacuated++;
-            } else if (!server.wantsNothingFor().isZero()) {
+            } else if (!server.rejectsFor().isZero()) {
                 wantNothing++;
-            } else if (!mayGet(server)) {
+            } else if (!isEligible(server)) {
                 cold++;
             }
         }
@@ -114,8 +114,8 @@
      *
      * @param server a worker there
      */
-    public void onTakenBack(final TrackedServer server) {
-        warmUps.apply(server.entry().service()).ifPresent(w -> server.onMaybeCold(w.time()));
+    public void onEvacuationEnded(final TrackedServer server) {
+        warmUps.apply(server.entry().service()).ifPresent(w -> server.onPossibleRestart(w.time()));
     }
 
     private Duration whileCold(final TrackedServer server) {
@@ -132,14 +132,14 @@
         }
         return server.warmUpLeft().isZero()
                 ? Duration.ZERO
-                : server.nextWhileCold(
+                : server.warmUpDelay(
                         shares.of(server.entry().id(), warmUp.get().requestsPerSecond()));
     }
 
     private static void suspectRestart(final TrackedServer server, final WarmUp warmUp) {
         final long sinceMillis = server.health().backMillis();
         if (sinceMillis < warmUp.time().toMillis()) {
-            server.onMaybeCold(warmUp.time().minusMillis(sinceMillis));
+            server.onPossibleRestart(warmUp.time().minusMillis(sinceMillis));
         }
     }
 }
--- a/fennelstage-core/src/main/java/org/fennelstage/fleet/Evacuations.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/fleet/Evacuations.java
@@ -83,7 +83,7 @@
     }
 
     /** Notes that the store has come back from an older copy. */
-    public void onStoreReplaced() {
+    public void onStoreRestored() {
         unsettled = true;
     }
 
@@ -98,7 +98,7 @@
     }
 
     /** Notes that the store has told all there is. */
-    public void onHeard() {
+    public void onStoreRead() {
         heardMillis = clock.millis();
     }
 
--- a/fennelstage-core/src/main/java/org/fennelstage/fleet/Incarnation.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/fleet/Incarnation.java
@@ -14,14 +14,14 @@
  * thread-safe.
  *
  * @param server the worker's id
- * @param bornMillis its start, Unix milliseconds by its own clock; zero if it does not say
+ * @param startMillis its start, Unix milliseconds by its own clock; zero if it does not say
  */
-public record Incarnation(BackendServerId server, long bornMillis) {
+public record Incarnation(BackendServerId server, long startMillis) {
 
     public Incarnation {
         Objects.requireNonNull(server, "server is null");
-        if (bornMillis < 0) {
-            throw new IllegalArgumentException("born before 1970: " + bornMillis);
+        if (startMillis < 0) {
+            throw new IllegalArgumentException("born before 1970: " + startMillis);
         }
     }
 
@@ -42,11 +42,11 @@
      * @return true if the other one has ended
      */
     public boolean supersedes(final Incarnation other) {
-        return server.equals(other.server) && bornMillis > other.bornMillis;
+        return server.equals(other.server) && startMillis > other.startMillis;
     }
 
     @Override
     public String toString() {
-        return bornMillis == 0 ? server.value() : server.value() + "@" + bornMillis;
+        return startMillis == 0 ? server.value() : server.value() + "@" + startMillis;
     }
 }
--- a/fennelstage-core/src/main/java/org/fennelstage/fleet/Reachability.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/fleet/Reachability.java
@@ -78,7 +78,7 @@
         return clock.millis() - lastSignMillis <= HEARD_MILLIS;
     }
 
-    void onSign() {
+    void onBytesReceived() {
         failures = 0;
         lastSignMillis = clock.millis();
     }
--- a/fennelstage-core/src/main/java/org/fennelstage/fleet/ServerEntry.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/fleet/ServerEntry.java
@@ -16,7 +16,7 @@
  * @param dataCentre where it stands
  * @param version the version of its software, which a roll-out changes
  * @param capacity how many requests it works on at once
- * @param leaving whether it is about to stop and takes no new work
+ * @param draining whether it is about to stop and takes no new work
  * @param warmUpLeft how long the worker stays cold, counted from when it wrote this; zero if it is
  *     warm
  * @param position where in the store's history this was written
@@ -28,7 +28,7 @@
         DataCentreId dataCentre,
         String version,
         int capacity,
-        boolean leaving,
+        boolean draining,
         Duration warmUpLeft,
         Position position) {
 
@@ -51,7 +51,7 @@
      * @param dataCentre where it stands
      * @param version the version of its software
      * @param capacity how many requests it works on at once
-     * @param leaving whether it is about to stop
+     * @param draining whether it is about to stop
      * @param position where in the store's history this was written
      */
     public ServerEntry(
@@ -61,7 +61,7 @@
             final DataCentreId dataCentre,
             final String version,
             final int capacity,
-            final boolean leaving,
+            final boolean draining,
             final Position position) {
         this(
                 incarnation,
@@ -70,7 +70,7 @@
                 dataCentre,
                 version,
                 capacity,
-                leaving,
+                draining,
                 Duration.ZERO,
                 position);
     }
--- a/fennelstage-core/src/main/java/org/fennelstage/fleet/ServerHealth.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/fleet/ServerHealth.java
@@ -142,8 +142,8 @@
      *     hear of the next try of the others
      * @return false if this VM heard the worker itself a moment ago
      */
-    public boolean onHearsay(final double draw) {
-        if (silentMillis() < OWN_SIGN_MILLIS) {
+    public boolean onPeerReport(final double draw) {
+        if (millisSinceLastByte() < OWN_SIGN_MILLIS) {
             return false;
         }
         hearsayUntilMillis = clock.millis() + (long) (HEARSAY_MILLIS * (1 + draw));
@@ -151,13 +151,13 @@
     }
 
     /** Notes that a byte came from the worker. */
-    public void onSign() {
+    public void onBytesReceived() {
         if (unreachable > 0) {
             outOfReachMillis = clock.millis();
         }
         unreachable = 0;
         hearsayUntilMillis = Long.MIN_VALUE;
-        dataCentre.onSign();
+        dataCentre.onBytesReceived();
         lastSignMillis = clock.millis();
     }
 
@@ -179,7 +179,7 @@
      *
      * @return true if another worker of the data centre sent a byte a moment ago
      */
-    public boolean isDataCentreHeard() {
+    public boolean isDataCentreReachable() {
         return dataCentre.heardLately();
     }
 
@@ -188,7 +188,7 @@
      *
      * @return milliseconds
      */
-    public long silentMillis() {
+    public long millisSinceLastByte() {
         return clock.millis() - lastSignMillis;
     }
 
--- a/fennelstage-core/src/main/java/org/fennelstage/fleet/ServerTable.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/fleet/ServerTable.java
@@ -134,7 +134,7 @@
      * @param incarnation the worker and which of its lives
      * @return false if that was known already
      */
-    public boolean onLeaving(final Incarnation incarnation) {
+    public boolean onDraining(final Incarnation incarnation) {
         if (!departures.onOwnWord(incarnation)) {
             return false;
         }
@@ -151,7 +151,7 @@
      *
      * @param id the worker
      */
-    public void reject(final BackendServerId id) {
+    public void removeInvalid(final BackendServerId id) {
         drop(id);
     }
 
@@ -189,7 +189,7 @@
     }
 
     /** Notes that a call failed: the store may be away, or only the way to it. */
-    public void onStoreDoubted() {
+    public void onStoreCallFailed() {
         if (!doubted && !storeAway) {
             awaySinceMillis = clock.millis();
         }
@@ -197,8 +197,8 @@
     }
 
     /** Notes that the store cannot be reached; since the first call that failed, if one did. */
-    public void onStoreLost() {
-        onStoreDoubted();
+    public void onStoreUnavailable() {
+        onStoreCallFailed();
         storeAway = true;
     }
 
@@ -207,12 +207,12 @@
      *
      * @return true from the first list that failed to the first answer
      */
-    public boolean isStoreAway() {
+    public boolean isStoreUnavailable() {
         return storeAway;
     }
 
     /** Notes that the store answers again. */
-    public void onStoreBack() {
+    public void onStoreAvailable() {
         final long awayMillis = clock.millis() - awaySinceMillis;
         if (storeAway && awayMillis >= LAPSE_NEEDS_MILLIS) {
             graceUntilMillis = clock.millis() + LAPSE_GRACE_MILLIS;
@@ -225,9 +225,9 @@
      * Notes that the store has come back from an older copy: entries that it lost get the time to
      * be written again, and what it says of workers that left is doubted for a while.
      */
-    public void onStoreReplaced() {
+    public void onStoreRestored() {
         graceUntilMillis = clock.millis() + LAPSE_GRACE_MILLIS;
-        departures.onStoreReplaced();
+        departures.onStoreRestored();
     }
 
     /**
@@ -236,7 +236,7 @@
      *
      * @return the workers dropped
      */
-    public List<BackendServerId> dropLapsed() {
+    public List<BackendServerId> removeExpired() {
         Optional<ServerEntry> believed = departures.believed();
         while (believed.isPresent()) {
             believe(departures.judge(believed.get()));
@@ -291,7 +291,7 @@
     private List<TrackedServer> collect(final ServiceName service) {
         final List<TrackedServer> result = new ArrayList<>();
         for (final TrackedServer server : servers.values()) {
-            if (server.entry().service().equals(service) && !server.entry().leaving()) {
+            if (server.entry().service().equals(service) && !server.entry().draining()) {
                 result.add(server);
             }
         }
--- a/fennelstage-core/src/main/java/org/fennelstage/fleet/TrackedServer.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/fleet/TrackedServer.java
@@ -24,11 +24,11 @@
     private final long idHash;
     private ServerEntry entry;
     private int running;
-    private int begunAnswers;
+    private int begunResponses;
     private boolean ended;
     private long stalledFromMillis;
     private long unreadMillis;
-    private long wantsNothingUntilMillis;
+    private long rejectsUntilMillis;
     private long coldUntilMillis;
     private long lastBeginMillis;
 
@@ -38,7 +38,7 @@
         this.health = health;
         this.clock = clock;
         this.idHash = Rendezvous.hash(entry.id().value());
-        this.wantsNothingUntilMillis = clock.millis();
+        this.rejectsUntilMillis = clock.millis();
         this.coldUntilMillis = clock.millis() + entry.warmUpLeft().toMillis();
         this.lastBeginMillis = clock.millis() - WARM_UP_WINDOW_MILLIS;
     }
@@ -77,11 +77,11 @@
     /**
      * Tells whether neither the worker's word nor its warming up holds requests back.
      *
-     * @return true if {@link #wantsNothingFor} and {@link #warmUpLeft} are zero
+     * @return true if {@link #rejectsFor} and {@link #warmUpLeft} are zero
      */
     boolean isUnrestricted() {
         final long now = clock.millis();
-        return now >= wantsNothingUntilMillis && now >= coldUntilMillis;
+        return now >= rejectsUntilMillis && now >= coldUntilMillis;
     }
 
     /**
@@ -118,7 +118,7 @@
      *
      * @param readMillis as given at its begin
      */
-    public void onRead(final long readMillis) {
+    public void onPromptRead(final long readMillis) {
         unreadMillis -= readMillis;
     }
 
@@ -128,16 +128,16 @@
     }
 
     /** Notes that an answer began, or goes on after a pause that this VM asked for. */
-    public void beginAnswer() {
-        if (begunAnswers == 0) {
+    public void beginResponse() {
+        if (begunResponses == 0) {
             stalledFromMillis = clock.millis();
         }
-        begunAnswers++;
+        begunResponses++;
     }
 
     /** Notes that an answer that had begun ended, or is paused by this VM. */
-    public void endAnswer() {
-        begunAnswers--;
+    public void endResponse() {
+        begunResponses--;
     }
 
     /**
@@ -145,8 +145,8 @@
      *
      * @return the count
      */
-    public int begunAnswers() {
-        return begunAnswers;
+    public int begunResponses() {
+        return begunResponses;
     }
 
     /**
@@ -155,9 +155,9 @@
      * @return milliseconds, zero if no answer is under way
      */
     public long stalledMillis() {
-        return begunAnswers == 0
+        return begunResponses == 0
                 ? 0
-                : Math.min(health.silentMillis(), clock.millis() - stalledFromMillis);
+                : Math.min(health.millisSinceLastByte(), clock.millis() - stalledFromMillis);
     }
 
     /**
@@ -165,9 +165,9 @@
      *
      * @param time the time
      */
-    public void onTurnedAway(final Duration time) {
+    public void onRejected(final Duration time) {
         final long until = clock.millis() + time.toMillis();
-        wantsNothingUntilMillis = Math.max(wantsNothingUntilMillis, until);
+        rejectsUntilMillis = Math.max(rejectsUntilMillis, until);
     }
 
     /**
@@ -175,8 +175,8 @@
      *
      * @return the time, zero if it takes requests
      */
-    public Duration wantsNothingFor() {
-        return Duration.ofMillis(Math.max(0, wantsNothingUntilMillis - clock.millis()));
+    public Duration rejectsFor() {
+        return Duration.ofMillis(Math.max(0, rejectsUntilMillis - clock.millis()));
     }
 
     /**
@@ -184,7 +184,7 @@
      *
      * @param time how long it may stay cold
      */
-    public void onMaybeCold(final Duration time) {
+    public void onPossibleRestart(final Duration time) {
         coldUntilMillis = Math.max(coldUntilMillis, clock.millis() + time.toMillis());
     }
 
@@ -206,7 +206,7 @@
      * @param share how many requests this VM may send it in a second
      * @return the time until then; until it is warm, if the share is 0
      */
-    public Duration nextWhileCold(final int share) {
+    public Duration warmUpDelay(final int share) {
         if (share == 0) {
             return warmUpLeft();
         }
@@ -219,7 +219,7 @@
      *
      * @return true if its requests here will not be answered
      */
-    public boolean hasEnded() {
+    public boolean isSuperseded() {
         return ended;
     }
 
@@ -231,7 +231,7 @@
     void update(final ServerEntry newer) {
         entry = newer;
         if (!newer.warmUpLeft().isZero()) {
-            onMaybeCold(newer.warmUpLeft());
+            onPossibleRestart(newer.warmUpLeft());
         }
     }
 
--- a/fennelstage-core/src/main/java/org/fennelstage/placement/Placement.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/placement/Placement.java
@@ -192,7 +192,7 @@
      * @param job the request
      * @return milliseconds, empty if a place is free or no worker can be reached
      */
-    public OptionalDouble leastWaitMillis(final List<TrackedServer> candidates, final Job job) {
+    public OptionalDouble minWaitMillis(final List<TrackedServer> candidates, final Job job) {
         double least = Double.MAX_VALUE;
         for (final TrackedServer server : candidates) {
             if (server.health().tier() == ServerHealth.Tier.UNREACHABLE) {
--- a/fennelstage-core/src/test/java/org/fennelstage/fleet/ConnectionShareTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/fleet/ConnectionShareTest.java
@@ -16,22 +16,23 @@
      */
     @Test
     void manyVmsKeepFewConnectionsEachAndFewVmsKeepMany() {
-        assertThat(new ConnectionShare(440, 64).mostIdle()).isEqualTo(3);
-        assertThat(new ConnectionShare(96, 6).mostIdle()).isEqualTo(8);
-        assertThat(new ConnectionShare(10_000, 6).mostIdle()).isEqualTo(ConnectionShare.MOST);
-        assertThat(new ConnectionShare(100, 300).mostIdle()).isZero();
+        assertThat(new ConnectionShare(440, 64).maxIdleConnections()).isEqualTo(3);
+        assertThat(new ConnectionShare(96, 6).maxIdleConnections()).isEqualTo(8);
+        assertThat(new ConnectionShare(10_000, 6).maxIdleConnections())
+                .isEqualTo(ConnectionShare.MOST);
+        assertThat(new ConnectionShare(100, 300).maxIdleConnections()).isZero();
     }
 
     @Test
     void aVmThatKnowsNoOtherKeepsFew() {
-        assertThat(new ConnectionShare(440, 0).mostIdle()).isEqualTo(3);
+        assertThat(new ConnectionShare(440, 0).maxIdleConnections()).isEqualTo(3);
     }
 
     @Property(tries = 500)
     void allVmsTogetherLeaveHalfOfTheConnectionsToCallsUnderWay(
             @ForAll @IntRange(min = 1, max = 5_000) final int accepted,
             @ForAll @IntRange(min = 1, max = 1_000) final int vms) {
-        final int kept = vms * new ConnectionShare(accepted, vms).mostIdle();
+        final int kept = vms * new ConnectionShare(accepted, vms).maxIdleConnections();
         assertThat(kept).isLessThanOrEqualTo(accepted / 2);
     }
 }
--- a/fennelstage-core/src/test/java/org/fennelstage/fleet/DeparturesTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/fleet/DeparturesTest.java
@@ -21,8 +21,8 @@
     @Test
     void aWorkerThatLeftIsTakenAsLeavingForAWhileAfterTheStoresReturn() {
         departures.judge(entry(true));
-        departures.onStoreReplaced();
-        assertThat(departures.judge(entry(false)).leaving()).isTrue();
+        departures.onStoreRestored();
+        assertThat(departures.judge(entry(false)).draining()).isTrue();
         now.addAndGet(Departures.DOUBT_MILLIS - 1);
         assertThat(departures.believed()).isEmpty();
     }
@@ -34,11 +34,11 @@
     @Test
     void whatIsStillInTheStoreAfterThatWhileIsBelieved() {
         departures.onGone(entry(false).incarnation());
-        departures.onStoreReplaced();
+        departures.onStoreRestored();
         departures.judge(entry(false));
         now.addAndGet(Departures.DOUBT_MILLIS);
         final ServerEntry believed = departures.believed().orElseThrow();
-        assertThat(departures.judge(believed).leaving()).isFalse();
+        assertThat(departures.judge(believed).draining()).isFalse();
         assertThat(departures.believed()).isEmpty();
     }
 
@@ -50,30 +50,30 @@
     void aWorkersOwnWordThatItLeavesGoesBeforeItsEntryForGood() {
         assertThat(departures.onOwnWord(entry(false).incarnation())).isTrue();
         assertThat(departures.onOwnWord(entry(false).incarnation())).isFalse();
-        assertThat(departures.judge(entry(false)).leaving()).isTrue();
-        departures.onStoreReplaced();
+        assertThat(departures.judge(entry(false)).draining()).isTrue();
+        departures.onStoreRestored();
         now.addAndGet(Departures.DOUBT_MILLIS);
-        assertThat(departures.judge(entry(false)).leaving()).isTrue();
-        assertThat(departures.judge(ServerTableTest.born("a", 7)).leaving()).isFalse();
+        assertThat(departures.judge(entry(false)).draining()).isTrue();
+        assertThat(departures.judge(ServerTableTest.born("a", 7)).draining()).isFalse();
     }
 
     @Test
     void withoutAReturnTheStoresWordIsTakenAsItIs() {
         departures.judge(entry(true));
-        assertThat(departures.judge(entry(false)).leaving()).isFalse();
+        assertThat(departures.judge(entry(false)).draining()).isFalse();
     }
 
     @Test
     void anotherIncarnationOfAWorkerThatLeftIsNotDoubted() {
         departures.judge(entry(true));
-        departures.onStoreReplaced();
-        assertThat(departures.judge(ServerTableTest.born("a", 7)).leaving()).isFalse();
+        departures.onStoreRestored();
+        assertThat(departures.judge(ServerTableTest.born("a", 7)).draining()).isFalse();
     }
 
     @Test
     void aDoubtedEntryThatGoesFromTheStoreIsForgotten() {
         departures.onGone(entry(false).incarnation());
-        departures.onStoreReplaced();
+        departures.onStoreRestored();
         departures.judge(entry(false));
         departures.onGone(entry(false).incarnation());
         now.addAndGet(Departures.DOUBT_MILLIS);
--- a/fennelstage-core/src/test/java/org/fennelstage/fleet/EligibilityTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/fleet/EligibilityTest.java
@@ -53,25 +53,25 @@
     void aWarmWorkerMayGetRequestsOneAfterTheOther() {
         final TrackedServer server = server(Duration.ZERO);
         server.begin(0);
-        assertThat(eligibility.mayGet(server)).isTrue();
+        assertThat(eligibility.isEligible(server)).isTrue();
     }
 
     @Test
     void aWorkerOfAnEvacuatedDataCentreMayNotAndNobodyKnowsWhen() {
         final TrackedServer server = server(Duration.ZERO);
         evacuations.begin(DC);
-        assertThat(eligibility.mayGet(server)).isFalse();
+        assertThat(eligibility.isEligible(server)).isFalse();
         assertThat(eligibility.wait(server)).isEmpty();
     }
 
     @Test
     void aColdWorkerMayOnlyAtTheRateThatItStands() {
         final TrackedServer server = server(Duration.ofSeconds(3));
-        assertThat(eligibility.mayGet(server)).isTrue();
+        assertThat(eligibility.isEligible(server)).isTrue();
         server.begin(0);
         assertThat(eligibility.wait(server)).contains(Duration.ofMillis(600));
         now.addAndGet(600);
-        assertThat(eligibility.mayGet(server)).isTrue();
+        assertThat(eligibility.isEligible(server)).isTrue();
     }
 
     @Test
@@ -79,13 +79,13 @@
         final TrackedServer server = server(Duration.ofSeconds(3));
         now.addAndGet(3_000);
         server.begin(0);
-        assertThat(eligibility.mayGet(server)).isTrue();
+        assertThat(eligibility.isEligible(server)).isTrue();
     }
 
     @Test
     void aWorkerThatWantsNothingMayNot() {
         final TrackedServer server = server(Duration.ZERO);
-        server.onTurnedAway(Duration.ofSeconds(5));
+        server.onRejected(Duration.ofSeconds(5));
         assertThat(eligibility.wait(server)).contains(Duration.ofSeconds(5));
     }
 
@@ -94,7 +94,7 @@
         final TrackedServer cold = server(Duration.ofSeconds(3));
         cold.begin(0);
         final TrackedServer turnsAway = server(Duration.ZERO);
-        turnsAway.onTurnedAway(Duration.ofSeconds(1));
+        turnsAway.onRejected(Duration.ofSeconds(1));
         final List<TrackedServer> servers = List.of(server(Duration.ZERO), cold, turnsAway);
         assertThat(eligibility.reasons(servers)).isEqualTo(new Eligibility.Reasons(0, 1, 1));
         evacuations.begin(DC);
@@ -105,9 +105,9 @@
     @Test
     void workersThatAreTakenBackAreTakenForCold() {
         final TrackedServer server = server(Duration.ZERO);
-        eligibility.onTakenBack(server);
+        eligibility.onEvacuationEnded(server);
         server.begin(0);
-        assertThat(eligibility.mayGet(server)).isFalse();
+        assertThat(eligibility.isEligible(server)).isFalse();
     }
 
     /** Guards against a crowd at a restarted worker whose entry nobody can read. */
@@ -116,10 +116,10 @@
         final TrackedServer server = server(Duration.ZERO);
         server.health().onUnreachable();
         server.begin(0);
-        assertThat(eligibility.mayGet(server)).isTrue();
+        assertThat(eligibility.isEligible(server)).isTrue();
         storeAway.set(true);
-        assertThat(eligibility.mayGet(server)).isFalse();
+        assertThat(eligibility.isEligible(server)).isFalse();
         now.addAndGet(600);
-        assertThat(eligibility.mayGet(server)).isTrue();
+        assertThat(eligibility.isEligible(server)).isTrue();
     }
 }
--- a/fennelstage-core/src/test/java/org/fennelstage/fleet/EvacuationsTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/fleet/EvacuationsTest.java
@@ -46,7 +46,7 @@
     @Test
     void anEvacuationThatTheStoreLostStaysInForceUntilOperatorsHadTimeToWriteItAgain() {
         evacuations.begin(A);
-        evacuations.onStoreReplaced();
+        evacuations.onStoreRestored();
         assertThat(evacuations.replaceAll(Set.of())).isEmpty();
         assertThat(evacuations.includes(A)).isTrue();
         evacuations.begin(A);
@@ -57,7 +57,7 @@
     @Test
     void anEvacuationThatNobodyWritesAgainEndsWhenTheStoreIsTakenAtItsWord() {
         evacuations.begin(A);
-        evacuations.onStoreReplaced();
+        evacuations.onStoreRestored();
         evacuations.replaceAll(Set.of());
         assertThat(evacuations.settle()).containsExactly(A);
         assertThat(evacuations.includes(A)).isFalse();
@@ -66,7 +66,7 @@
     @Test
     void anEndThatIsWrittenAfterTheReturnCountsAtOnce() {
         evacuations.begin(A);
-        evacuations.onStoreReplaced();
+        evacuations.onStoreRestored();
         assertThat(evacuations.end(A)).isTrue();
         assertThat(evacuations.includes(A)).isFalse();
     }
@@ -75,7 +75,7 @@
     void itsAgeIsTheTimeSinceTheStoreWasHeard() {
         now.addAndGet(300);
         assertThat(evacuations.ageMillis()).isEqualTo(300);
-        evacuations.onHeard();
+        evacuations.onStoreRead();
         assertThat(evacuations.ageMillis()).isZero();
     }
 }
--- a/fennelstage-core/src/test/java/org/fennelstage/fleet/ServerHealthTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/fleet/ServerHealthTest.java
@@ -71,14 +71,14 @@
         assertThat(third.tier()).isEqualTo(ServerHealth.Tier.UNREACHABLE);
         now.addAndGet(1_000);
         assertThat(third.tier()).isEqualTo(ServerHealth.Tier.SUSPECT);
-        third.onSign();
+        third.onBytesReceived();
         assertThat(third.tier()).isEqualTo(ServerHealth.Tier.SOUND);
     }
 
     @Test
     void aByteFromAServerEndsItsPause() {
         health.onUnreachable();
-        health.onSign();
+        health.onBytesReceived();
         assertThat(health.tier()).isEqualTo(ServerHealth.Tier.SOUND);
     }
 
@@ -89,7 +89,7 @@
     @Test
     void aWorkerThatAnotherVmCouldNotReachIsUsedAfterOthersForAWhile() {
         now.addAndGet(5_000);
-        assertThat(health.onHearsay(0.5)).isTrue();
+        assertThat(health.onPeerReport(0.5)).isTrue();
         assertThat(health.tier()).isEqualTo(ServerHealth.Tier.SUSPECT);
         assertThat(health.probeDue()).isFalse();
         now.addAndGet(2_999);
@@ -101,12 +101,12 @@
     @Test
     void theWordOfAnotherVmCountsLessThanAByteFromTheWorker() {
         now.addAndGet(5_000);
-        health.onSign();
-        assertThat(health.onHearsay(0)).isFalse();
+        health.onBytesReceived();
+        assertThat(health.onPeerReport(0)).isFalse();
         assertThat(health.tier()).isEqualTo(ServerHealth.Tier.SOUND);
         now.addAndGet(5_000);
-        assertThat(health.onHearsay(0)).isTrue();
-        health.onSign();
+        assertThat(health.onPeerReport(0)).isTrue();
+        health.onBytesReceived();
         assertThat(health.tier()).isEqualTo(ServerHealth.Tier.SOUND);
     }
 
@@ -115,7 +115,7 @@
     void aFailureIsWorthTellingOnlyWhileOtherWorkersOfTheDataCentreAreHeard() {
         final ServerHealth other = ServerHealth.of(now::get, dataCentre);
         assertThat(health.onUnreachable()).isFalse();
-        other.onSign();
+        other.onBytesReceived();
         assertThat(health.onUnreachable()).isTrue();
         now.addAndGet(1_001);
         assertThat(health.onUnreachable()).isFalse();
--- a/fennelstage-core/src/test/java/org/fennelstage/fleet/ServerTableTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/fleet/ServerTableTest.java
@@ -54,25 +54,25 @@
     @Test
     void aWorkerWhoseEntryComesBackStillWantsNothingForTheTimeThatItSaid() {
         table.put(entry("a", false));
-        table.usable(SERVICE).get(0).onTurnedAway(Duration.ofSeconds(5));
+        table.usable(SERVICE).get(0).onRejected(Duration.ofSeconds(5));
         table.remove(BackendServerId.of("a"));
         now.addAndGet(2_000);
         table.put(entry("a", false));
         final TrackedServer again = table.usable(SERVICE).get(0);
-        assertThat(again.wantsNothingFor()).hasSeconds(3);
-        again.onTurnedAway(Duration.ofSeconds(1));
-        assertThat(again.wantsNothingFor()).hasSeconds(3);
+        assertThat(again.rejectsFor()).hasSeconds(3);
+        again.onRejected(Duration.ofSeconds(1));
+        assertThat(again.rejectsFor()).hasSeconds(3);
         now.addAndGet(3_000);
-        assertThat(again.wantsNothingFor()).isZero();
+        assertThat(again.rejectsFor()).isZero();
     }
 
     @Test
     void aLaterLifeOfAWorkerIsBegunAnew() {
         table.put(entry("a", false));
-        table.usable(SERVICE).get(0).onTurnedAway(Duration.ofSeconds(5));
+        table.usable(SERVICE).get(0).onRejected(Duration.ofSeconds(5));
         table.remove(BackendServerId.of("a"));
         table.put(born("a", 7));
-        assertThat(table.usable(SERVICE).get(0).wantsNothingFor()).isZero();
+        assertThat(table.usable(SERVICE).get(0).rejectsFor()).isZero();
     }
 
     /**
@@ -84,14 +84,14 @@
     void entriesThatVanishAroundAnOutageStayUntilTheirServersHadTimeToReturn() {
         table.put(entry("a", false));
         table.put(entry("b", false));
-        table.onStoreLost();
+        table.onStoreUnavailable();
         now.addAndGet(ServerTable.LAPSE_NEEDS_MILLIS);
-        table.onStoreBack();
+        table.onStoreAvailable();
         table.replaceAll(List.of());
         assertThat(ids()).containsExactly("a", "b");
         table.put(entry("a", false));
         now.addAndGet(ServerTable.LAPSE_GRACE_MILLIS);
-        assertThat(table.dropLapsed()).containsExactly(BackendServerId.of("b"));
+        assertThat(table.removeExpired()).containsExactly(BackendServerId.of("b"));
         assertThat(ids()).containsExactly("a");
     }
 
@@ -103,9 +103,9 @@
     @Test
     void afterAShortInterruptionAnEntryThatVanishedIsDroppedAtOnce() {
         table.put(entry("a", false));
-        table.onStoreLost();
+        table.onStoreUnavailable();
         now.addAndGet(ServerTable.LAPSE_NEEDS_MILLIS - 1);
-        table.onStoreBack();
+        table.onStoreAvailable();
         table.replaceAll(List.of());
         assertThat(ids()).isEmpty();
     }
@@ -119,7 +119,7 @@
                 plain.dataCentre(),
                 plain.version(),
                 plain.capacity(),
-                plain.leaving(),
+                plain.draining(),
                 plain.position());
     }
 
@@ -144,15 +144,15 @@
         assertThat(server("a").running()).isZero();
         assertThat(server("a").health().tier()).isEqualTo(ServerHealth.Tier.SOUND);
         assertThat(ended).containsExactly(former);
-        assertThat(former.hasEnded()).isTrue();
-        assertThat(server("a").hasEnded()).isFalse();
+        assertThat(former.isSuperseded()).isTrue();
+        assertThat(server("a").isSuperseded()).isFalse();
     }
 
     @Test
     void anEntryOfAFormerLifeIsPassedOverAlsoAfterTheLaterOneIsGone() {
         table.put(born("a", 2));
         assertThat(table.put(born("a", 1))).isFalse();
-        assertThat(server("a").entry().incarnation().bornMillis()).isEqualTo(2);
+        assertThat(server("a").entry().incarnation().startMillis()).isEqualTo(2);
         table.remove(BackendServerId.of("a"));
         assertThat(table.put(born("a", 1))).isFalse();
         assertThat(ids()).isEmpty();
@@ -163,27 +163,27 @@
     void anEntryThatTurnedBadNamesNoWorkerAlsoWhileTheStoreIsAway() {
         table.put(entry("a", false));
         table.put(entry("b", false));
-        table.onStoreLost();
-        table.reject(BackendServerId.of("a"));
+        table.onStoreUnavailable();
+        table.removeInvalid(BackendServerId.of("a"));
         assertThat(ids()).containsExactly("b");
     }
 
     @Test
     void nothingIsDroppedWhileTheStoreIsAway() {
         table.put(entry("a", false));
-        table.onStoreLost();
+        table.onStoreUnavailable();
         table.remove(BackendServerId.of("a"));
         now.addAndGet(60_000);
-        assertThat(table.dropLapsed()).isEmpty();
+        assertThat(table.removeExpired()).isEmpty();
         assertThat(ids()).containsExactly("a");
     }
 
     @Test
     void anEntryThatVanishesLongAfterAnOutageIsDroppedAtOnce() {
         table.put(entry("a", false));
-        table.onStoreLost();
+        table.onStoreUnavailable();
         now.addAndGet(ServerTable.LAPSE_NEEDS_MILLIS);
-        table.onStoreBack();
+        table.onStoreAvailable();
         now.addAndGet(ServerTable.LAPSE_GRACE_MILLIS);
         table.remove(BackendServerId.of("a"));
         assertThat(ids()).isEmpty();
@@ -201,11 +201,11 @@
     @Test
     void whatAStoreLosesByComingBackFromACopyIsKeptUntilItHadTimeToComeAgain() {
         table.put(entry("a", false));
-        table.onStoreReplaced();
+        table.onStoreRestored();
         table.replaceAll(List.of());
         assertThat(ids()).containsExactly("a");
         now.addAndGet(ServerTable.LAPSE_GRACE_MILLIS);
-        table.dropLapsed();
+        table.removeExpired();
         assertThat(ids()).isEmpty();
     }
 
@@ -214,11 +214,11 @@
         table.put(entry("a", false));
         table.put(entry("a", true));
         table.remove(entry("a", true).id());
-        table.onStoreReplaced();
+        table.onStoreRestored();
         table.replaceAll(List.of(entry("a", false)));
         assertThat(ids()).isEmpty();
         now.addAndGet(Departures.DOUBT_MILLIS);
-        table.dropLapsed();
+        table.removeExpired();
         assertThat(ids()).containsExactly("a");
     }
 }
--- a/fennelstage-core/src/test/java/org/fennelstage/fleet/WarmUpSharesTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/fleet/WarmUpSharesTest.java
@@ -116,7 +116,7 @@
         for (int step = 0; step < 4_000; step++) {
             now.addAndGet(random.nextInt(3));
             final int vm = random.nextInt(count);
-            if (views.get(vm).nextWhileCold(shares.get(vm)).isZero()) {
+            if (views.get(vm).warmUpDelay(shares.get(vm)).isZero()) {
                 views.get(vm).begin(0);
                 lastSecond.addLast(now.get());
             }
@@ -133,17 +133,17 @@
         final AtomicLong now = new AtomicLong(1_000_000);
         final TrackedServer server = cold(now);
         server.begin(0);
-        assertThat(server.nextWhileCold(1))
+        assertThat(server.warmUpDelay(1))
                 .isEqualTo(Duration.ofMillis(TrackedServer.WARM_UP_WINDOW_MILLIS));
         now.addAndGet(TrackedServer.WARM_UP_WINDOW_MILLIS);
-        assertThat(server.nextWhileCold(1)).isZero();
+        assertThat(server.warmUpDelay(1)).isZero();
     }
 
     @Test
     void aVmWithoutAShareWaitsUntilTheWorkerIsWarm() {
         final AtomicLong now = new AtomicLong(1_000_000);
         final TrackedServer server = cold(now);
-        assertThat(server.nextWhileCold(0)).isEqualTo(Duration.ofHours(1));
+        assertThat(server.warmUpDelay(0)).isEqualTo(Duration.ofHours(1));
         now.addAndGet(Duration.ofHours(1).toMillis());
         assertThat(server.warmUpLeft()).isZero();
     }
--- a/fennelstage-core/src/test/java/org/fennelstage/placement/PlacementTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/placement/PlacementTest.java
@@ -137,7 +137,7 @@
                 .contains(servers.get(0));
         assertThat(placement.choose(servers, job(prompt("t")), true, s -> false))
                 .contains(servers.get(1));
-        servers.get(0).health().onSign();
+        servers.get(0).health().onBytesReceived();
         assertThat(servers.get(0).health().tier()).isEqualTo(ServerHealth.Tier.SOUND);
     }
 
@@ -184,13 +184,13 @@
         final List<TrackedServer> servers = servers(2);
         fill(servers.get(0), 4_000);
         fill(servers.get(1), 100);
-        assertThat(placement.leastWaitMillis(servers, job(prompt("t"))).orElseThrow())
+        assertThat(placement.minWaitMillis(servers, job(prompt("t"))).orElseThrow())
                 .isLessThan(1_000);
         servers.get(1).health().onUnreachable();
-        assertThat(placement.leastWaitMillis(servers, job(prompt("t"))).orElseThrow())
+        assertThat(placement.minWaitMillis(servers, job(prompt("t"))).orElseThrow())
                 .isGreaterThan(3_500);
         servers.get(0).health().onUnreachable();
-        assertThat(placement.leastWaitMillis(servers, job(prompt("t")))).isEmpty();
+        assertThat(placement.minWaitMillis(servers, job(prompt("t")))).isEmpty();
     }
 
     /**
@@ -204,7 +204,7 @@
         final List<TrackedServer> servers = servers(2);
         fill(servers.get(0), 60_000);
         servers.get(1).begin(60_000);
-        assertThat(placement.leastWaitMillis(servers, job(prompt("t")))).isEmpty();
+        assertThat(placement.minWaitMillis(servers, job(prompt("t")))).isEmpty();
     }
 
     @Test
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Attempt.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Attempt.java
@@ -111,7 +111,8 @@
     }
 
     private ConnectionUse connectionUse() {
-        final int mostIdle = run.gateway().beliefs().connectionShare(run.service()).mostIdle();
+        final int mostIdle =
+                run.gateway().beliefs().connectionShare(run.service()).maxIdleConnections();
         return run.route().repeatable()
                 ? new ConnectionUse(MAX_IDLE_REPEATABLE, mostIdle, Duration.ZERO)
                 : new ConnectionUse(MAX_IDLE_AT_MOST_ONCE, mostIdle, SETTLING_AT_MOST_ONCE);
@@ -142,9 +143,9 @@
         flowing = nowFlowing;
         if (nowFlowing) {
             lastByteMillis = now();
-            server.beginAnswer();
+            server.beginResponse();
         } else {
-            server.endAnswer();
+            server.endResponse();
         }
     }
 
@@ -233,7 +234,7 @@
 
     private void onByte() {
         lastByteMillis = now();
-        server.health().onSign();
+        server.health().onBytesReceived();
     }
 
     /**
@@ -245,16 +246,16 @@
         if (ended || isPaused()) {
             return;
         }
-        if (server.hasEnded() && now() - lastByteMillis >= FORMER_LIFE_MILLIS) {
+        if (server.isSuperseded() && now() - lastByteMillis >= FORMER_LIFE_MILLIS) {
             endWithFormerLife();
             return;
         }
         final Silence silence =
                 new Silence(
                         now() - lastByteMillis,
-                        server.health().silentMillis(),
+                        server.health().millisSinceLastByte(),
                         server.stalledMillis(),
-                        watchesTogether() ? server.begunAnswers() : 0);
+                        watchesTogether() ? server.begunResponses() : 0);
         if (!silence.exceeds(patienceMillis())) {
             return;
         }
@@ -360,7 +361,7 @@
     private void noteRead() {
         if (!read) {
             read = true;
-            server.onRead(readMillis);
+            server.onPromptRead(readMillis);
         }
     }
 
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Beliefs.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Beliefs.java
@@ -83,7 +83,8 @@
         this.servers = ServerTable.of(clock);
         this.evacuations = Evacuations.empty(clock);
         this.eligibility =
-                new Eligibility(evacuations, warmUpShares, this::warmUp, this.servers::isStoreAway);
+                new Eligibility(
+                        evacuations, warmUpShares, this::warmUp, this.servers::isStoreUnavailable);
     }
 
     public MonotonicClock clock() {
@@ -204,7 +205,7 @@
     public void onTakenBack(final DataCentreId dataCentre) {
         servers.all().stream()
                 .filter(server -> server.entry().dataCentre().equals(dataCentre))
-                .forEach(eligibility::onTakenBack);
+                .forEach(eligibility::onEvacuationEnded);
     }
 
     /** Returns the share of a route's requests that fail wherever they run. */
@@ -252,7 +253,7 @@
 
     /** Notes that the store has come back from an older copy. */
     public void onStoreReplaced() {
-        servers.onStoreReplaced();
+        servers.onStoreRestored();
         canaries.values().forEach(Canary::onStoreReplaced);
         settling = true;
         settledAtMillis = clock.millis() + REWRITE_MILLIS;
@@ -339,7 +340,7 @@
         for (final TrackedServer server : usable) {
             if (canary.admits(server.entry().version(), toNew)) {
                 anyAdmitted = true;
-                if (eligibility.mayGet(server)) {
+                if (eligibility.isEligible(server)) {
                     eligible.add(server);
                 }
             }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/CrashWatch.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/CrashWatch.java
@@ -173,7 +173,7 @@
                 "requests",
                 contents.size());
         final boolean aloneSilent =
-                result == ProbeResult.SILENT && server.health().isDataCentreHeard();
+                result == ProbeResult.SILENT && server.health().isDataCentreReachable();
         if (result != ProbeResult.REFUSED && !aloneSilent) {
             return;
         }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Gateway.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Gateway.java
@@ -209,7 +209,7 @@
      */
     void onLeaving(final TrackedServer server) {
         final Incarnation incarnation = server.entry().incarnation();
-        if (beliefs.servers().onLeaving(incarnation)) {
+        if (beliefs.servers().onDraining(incarnation)) {
             EventLog.write(Event.SERVER_LEAVES, "server", incarnation, "source", "own answer");
             leavingListener.accept(incarnation);
         }
@@ -217,7 +217,7 @@
 
     /** Notes that a worker wants nothing from this VM for a time. */
     void onTurnedAway(final TrackedServer server, final Duration time) {
-        server.onTurnedAway(time);
+        server.onRejected(time);
         EventLog.write(
                 Event.SERVER_TURNS_AWAY,
                 "server",
@@ -246,7 +246,7 @@
                 "server",
                 entry.id(),
                 "born_ms",
-                entry.incarnation().bornMillis(),
+                entry.incarnation().startMillis(),
                 "running",
                 former.running());
         client.closeIdle(Sockets.address(entry.address()));
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Outlook.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Outlook.java
@@ -54,7 +54,7 @@
         if (!gateway.beliefs().pace(service, model).known()) {
             return OptionalDouble.empty();
         }
-        return gateway.placement().leastWaitMillis(candidates, job(service, model));
+        return gateway.placement().minWaitMillis(candidates, job(service, model));
     }
 
     /** Returns the least wait if it is longer than the caller will wait. */
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/RequestLog.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/RequestLog.java
@@ -125,9 +125,9 @@
                 "evacuated",
                 reasons.evacuated(),
                 "cold",
-                reasons.cold(),
+                reasons.warmingUp(),
                 "want_nothing",
-                reasons.wantNothing());
+                reasons.rejecting());
     }
 
     void quarantined(final Duration left) {
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/EvacuationFeed.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/EvacuationFeed.java
@@ -58,12 +58,12 @@
 
     @Override
     public void onPosition(final Position position) {
-        evacuations.onHeard();
+        evacuations.onStoreRead();
     }
 
     @Override
     public void onReplaced() {
-        evacuations.onStoreReplaced();
+        evacuations.onStoreRestored();
         unsettled = true;
         settledAtMillis = beliefs.clock().millis() + Beliefs.REWRITE_MILLIS;
     }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/PeerInbox.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/PeerInbox.java
@@ -53,7 +53,7 @@
     }
 
     private void onSaidToLeave(final Incarnation server) {
-        if (beliefs.servers().onLeaving(server)) {
+        if (beliefs.servers().onDraining(server)) {
             EventLog.write(Event.SERVER_LEAVES, "server", server, "source", "another VM");
         }
     }
@@ -65,7 +65,7 @@
                         .find(about.server())
                         .filter(s -> s.entry().incarnation().equals(about));
         if (server.isPresent()) {
-            final boolean believed = server.get().health().onHearsay(draw);
+            final boolean believed = server.get().health().onPeerReport(draw);
             EventLog.write(Event.SERVER_REPORTED, "server", about, "believed", believed);
         }
     }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/PeerMessage.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/PeerMessage.java
@@ -75,7 +75,7 @@
 
         @Override
         public String text() {
-            return "unreachable " + server.server().value() + " " + server.bornMillis();
+            return "unreachable " + server.server().value() + " " + server.startMillis();
         }
     }
 
@@ -92,7 +92,7 @@
 
         @Override
         public String text() {
-            return "leaving " + server.server().value() + " " + server.bornMillis();
+            return "leaving " + server.server().value() + " " + server.startMillis();
         }
     }
 
@@ -174,7 +174,7 @@
         public String text() {
             final StringBuilder text = new StringBuilder("crash ");
             text.append(report.server().server().value());
-            text.append(' ').append(report.server().bornMillis());
+            text.append(' ').append(report.server().startMillis());
             report.contents().forEach(content -> text.append(' ').append(content));
             return text.toString();
         }
@@ -202,7 +202,7 @@
                                     text.append(' ')
                                             .append(server.server().value())
                                             .append(',')
-                                            .append(server.bornMillis()));
+                                            .append(server.startMillis()));
             return text.toString();
         }
     }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/ServerFeed.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/ServerFeed.java
@@ -49,9 +49,9 @@
                     "version",
                     entry.version(),
                     "leaving",
-                    entry.leaving(),
+                    entry.draining(),
                     "born_ms",
-                    entry.incarnation().bornMillis(),
+                    entry.incarnation().startMillis(),
                     "taken",
                     taken,
                     "revision",
@@ -65,7 +65,7 @@
 
     @Override
     public void onMalformed(final StoredValue<ServerEntry> value) {
-        id(value.name()).ifPresent(servers::reject);
+        id(value.name()).ifPresent(servers::removeInvalid);
     }
 
     /** Another writer may use names that no worker can have; those name no worker. */
@@ -81,17 +81,17 @@
 
     @Override
     public void onLost() {
-        servers.onStoreDoubted();
+        servers.onStoreCallFailed();
     }
 
     @Override
     public void onAway() {
-        servers.onStoreLost();
+        servers.onStoreUnavailable();
     }
 
     @Override
     public void onBack() {
-        servers.onStoreBack();
+        servers.onStoreAvailable();
     }
 
     @Override
@@ -101,6 +101,6 @@
 
     /** Drops entries that lapsed while the store was away and did not come back. */
     void dropLapsed() {
-        servers.dropLapsed().forEach(id -> EventLog.write(Event.SERVER_LAPSED, "server", id));
+        servers.removeExpired().forEach(id -> EventLog.write(Event.SERVER_LAPSED, "server", id));
     }
 }
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/ModelStore.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/ModelStore.java
@@ -240,7 +240,7 @@
                         entry.dataCentre(),
                         entry.version(),
                         entry.capacity(),
-                        entry.leaving(),
+                        entry.draining(),
                         position);
     }
 
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/StoreReturnTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/StoreReturnTest.java
@@ -212,7 +212,7 @@
 
         private void go() {
             drawWorker()
-                    .filter(id -> workers.get(id).leaving())
+                    .filter(id -> workers.get(id).draining())
                     .ifPresent(
                             id -> {
                                 workers.remove(id);
@@ -325,7 +325,7 @@
             assertThat(version).isGreaterThanOrEqualTo(heardConfiguration);
             heardConfiguration = version;
             for (final TrackedServer server : beliefs.servers().all()) {
-                if (server.entry().leaving()) {
+                if (server.entry().draining()) {
                     heardLeaving.add(server.entry().id().value());
                 }
             }
@@ -353,7 +353,7 @@
             final Set<String> ready = new TreeSet<>();
             workers.forEach(
                     (id, entry) -> {
-                        if (!entry.leaving()) {
+                        if (!entry.draining()) {
                             ready.add(id);
                         }
                     });
