--- a/fennelstage-core/src/main/java/org/fennelstage/sizing/SizePlan.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/sizing/SizePlan.java
@@ -11,135 +11,132 @@
 import org.fennelstage.serving.Route;
 
 /**
- * The sizes that one request asks, in order.
+ * The model sizes that one request uses, in order.
  *
- * <p>A small model costs a fraction of a large one and takes a fraction of a worker's time, and its
- * answer comes with its own opinion of it. So a request is asked of the smallest model first, while
- * nothing has gone to the caller. If that one doubts its answer, the smallest of the others that
- * will likely do is asked, as far as the opinion tells ({@link ConfidenceGains}); the largest if
- * none will.
- *
- * <p>It gains the price of the large models where a small one will do, and their time for requests
- * that need them, at a little worth of the answers that a small model takes for good.
+ * <p>A smaller model costs less and takes less of a backend server's time, and reports its
+ * confidence in its answer. A request is therefore sent to the smallest model first, as long as no
+ * byte has gone to the caller. If the confidence is low, the request goes on to the smallest model
+ * that is likely good enough by {@link ConfidenceGains}, or to the largest if there is none.
  *
  * <p>Not thread-safe.
  */
 public final class SizePlan {
 
     /**
-     * Opinion from which an answer is taken where only the largest model could do better. That one
-     * takes ten times a small one's time, which others wait for; an answer that is more likely good
-     * than not is worth more.
+     * Confidence from which an answer is accepted if only the largest model could improve it. An
+     * answer that is more likely good enough than not is worth more than the largest model's time.
      */
     private static final int ACCEPTED_BEFORE_LARGEST = ConfidenceGains.EVEN;
 
     /**
-     * Opinion from which an answer is taken where a middle model will likely do. ConfidenceGains
-     * are wrong by some ten points: of answers with 50 to 60 nearly a third are not good enough,
-     * and a middle model costs a quarter of the largest.
+     * Confidence from which an answer is accepted if a middle model is likely good enough. Higher
+     * than {@link #ACCEPTED_BEFORE_LARGEST}, because a middle model costs less than the largest.
      */
     private static final int ACCEPTED_BEFORE_MIDDLE = 60;
 
-    /**
-     * Chance from which a middle model is asked before the largest. It takes a quarter of the time
-     * and half of the price; asked in vain it is lost with the time of the caller.
-     */
-    private static final double WORTH_ASKING = 0.5;
+    /** Probability of a good enough answer from which a middle model precedes the largest. */
+    private static final double MIN_MIDDLE_PROBABILITY = 0.5;
 
     private final List<ModelId> sizes;
-    private final ConfidenceGains opinions;
+    private final ConfidenceGains gains;
     private final boolean usesMiddle;
-    private int present;
+    private int current;
 
     private SizePlan(
             final List<ModelId> sizes,
-            final ConfidenceGains opinions,
+            final ConfidenceGains gains,
             final boolean usesMiddle,
             final int first) {
         this.sizes = sizes;
-        this.opinions = opinions;
+        this.gains = gains;
         this.usesMiddle = usesMiddle;
-        this.present = first;
+        this.current = first;
     }
 
     /**
      * Returns the plan of a request.
      *
      * @param route its route
-     * @param opinions what is known of the models
-     * @param policy whether small models are asked first, and middle ones at all
+     * @param gains the learnt confidence gains of the route's models
+     * @param policy whether small models come first, and whether middle models are used
      * @return the plan; without sizes if the caller named the model
      */
-    public static SizePlan of(
-            final Route route, final ConfidenceGains opinions, final Policy policy) {
-        Objects.requireNonNull(opinions, "opinions is null");
+    public static SizePlan of(final Route route, final ConfidenceGains gains, final Policy policy) {
+        Objects.requireNonNull(gains, "gains is null");
         final List<ModelId> sizes = route.sizes();
         final boolean smallFirst = route.repeatable() && policy.uses(Mechanism.SMALL_FIRST);
         return new SizePlan(
                 sizes,
-                opinions,
+                gains,
                 policy.uses(Mechanism.MIDDLE_MODELS),
                 smallFirst ? 0 : Math.max(0, sizes.size() - 1));
     }
 
     /**
-     * Returns the model to ask.
+     * Returns the current model.
      *
      * @return the model, empty if the caller named it
      */
     public Optional<ModelId> model() {
-        return sizes.isEmpty() ? Optional.empty() : Optional.of(sizes.get(present));
+        return sizes.isEmpty() ? Optional.empty() : Optional.of(sizes.get(current));
     }
 
     /**
-     * Returns the model that is to be asked in place of one that has answered.
+     * Returns the larger model that the request should go on to after an answer.
      *
-     * @param opinion the present model's opinion of its answer, 0 to 100; empty if it gave none
-     * @param inTime tells whether a model can begin to answer before the caller's deadline; an
-     *     answer that is in doubt is worth more than one that comes too late
-     * @return the model, empty if the answer is to be taken
+     * @param confidence the current model's confidence in its answer, 0 to 100; empty if it
+     *     reported none
+     * @param inTime returns whether a model can begin its response before the caller's deadline; an
+     *     answer with low confidence is better than one that is too late
+     * @return the model, empty if the answer is accepted
      */
-    public Optional<ModelId> nextModel(final OptionalInt opinion, final Predicate<ModelId> inTime) {
-        if (opinion.isEmpty() || isLargest()) {
+    public Optional<ModelId> nextModel(
+            final OptionalInt confidence, final Predicate<ModelId> inTime) {
+        if (confidence.isEmpty() || isLargest()) {
             return Optional.empty();
         }
-        return nextModel(opinion.getAsInt()).filter(inTime);
+        return nextModel(confidence.getAsInt()).filter(inTime);
     }
 
-    private Optional<ModelId> nextModel(final int value) {
-        final Optional<ModelId> middle = middle(value);
+    private Optional<ModelId> nextModel(final int confidence) {
+        final Optional<ModelId> middle = middle(confidence);
         if (middle.isPresent()) {
-            return middle.filter(m -> value < ACCEPTED_BEFORE_MIDDLE);
+            return middle.filter(m -> confidence < ACCEPTED_BEFORE_MIDDLE);
         }
-        return value < ACCEPTED_BEFORE_LARGEST
+        return confidence < ACCEPTED_BEFORE_LARGEST
                 ? Optional.of(sizes.get(sizes.size() - 1))
                 : Optional.empty();
     }
 
-    /** The smallest model between the present one and the largest that will likely do. */
-    private Optional<ModelId> middle(final int opinion) {
+    /** The smallest model between the current and the largest that is likely good enough. */
+    private Optional<ModelId> middle(final int confidence) {
         if (!usesMiddle) {
             return Optional.empty();
         }
-        return sizes.subList(present + 1, sizes.size() - 1).stream()
-                .filter(m -> opinions.chance(sizes.get(present), opinion, m) >= WORTH_ASKING)
+        return sizes.subList(current + 1, sizes.size() - 1).stream()
+                .filter(
+                        m ->
+                                gains.probabilityGoodEnough(sizes.get(current), confidence, m)
+                                        >= MIN_MIDDLE_PROBABILITY)
                 .findFirst();
     }
 
     /**
-     * Goes on to another model.
+     * Makes another model the current one.
      *
-     * @param model one of the route's sizes
+     * @param model one of the route's models
+     * @throws IllegalArgumentException if the route does not have the model
      */
     public void escalate(final ModelId model) {
         final int index = sizes.indexOf(model);
         if (index < 0) {
-            throw new IllegalArgumentException("no size of the route: " + model);
+            throw new IllegalArgumentException(
+                    "model " + model + " is not one of the route's models " + sizes);
         }
-        present = index;
+        current = index;
     }
 
     private boolean isLargest() {
-        return present >= sizes.size() - 1;
+        return current >= sizes.size() - 1;
     }
 }
--- a/fennelstage-core/src/main/java/org/fennelstage/sizing/package-info.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/sizing/package-info.java
@@ -1,2 +1,2 @@
-/** Which size of model answers a request, and whether its answer is good enough. */
+/** Chooses the model size for a request and decides whether an answer is good enough. */
 package org.fennelstage.sizing;
--- a/fennelstage-core/src/test/java/org/fennelstage/sizing/ConfidenceGainsTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/sizing/ConfidenceGainsTest.java
@@ -14,35 +14,35 @@
     private static final ModelId MIDDLE = ModelId.of("middle");
 
     @Property(tries = 200)
-    void theChanceNeverFallsAsTheOpinionRises(
-            @ForAll @IntRange(max = 99) final int opinion,
-            @ForAll @IntRange(max = 100) final int then) {
-        final ConfidenceGains opinions = ConfidenceGains.empty();
+    void probabilityNeverFallsAsTheConfidenceRises(
+            @ForAll @IntRange(max = 99) final int confidence,
+            @ForAll @IntRange(max = 100) final int largerConfidence) {
+        final ConfidenceGains gains = ConfidenceGains.empty();
         for (int i = 0; i < 20; i++) {
-            opinions.observe(SMALL, 30, MIDDLE, then);
+            gains.observe(SMALL, 30, MIDDLE, largerConfidence);
         }
-        assertThat(opinions.chance(SMALL, opinion + 1, MIDDLE))
-                .isGreaterThanOrEqualTo(opinions.chance(SMALL, opinion, MIDDLE));
+        assertThat(gains.probabilityGoodEnough(SMALL, confidence + 1, MIDDLE))
+                .isGreaterThanOrEqualTo(gains.probabilityGoodEnough(SMALL, confidence, MIDDLE));
     }
 
     @Test
-    void theGainOfALargerModelIsLearnt() {
-        final ConfidenceGains opinions = ConfidenceGains.empty();
-        assertThat(opinions.chance(SMALL, 20, MIDDLE)).isLessThan(0.1);
+    void gainOfALargerModelIsLearnt() {
+        final ConfidenceGains gains = ConfidenceGains.empty();
+        assertThat(gains.probabilityGoodEnough(SMALL, 20, MIDDLE)).isLessThan(0.1);
         for (int i = 0; i < 200; i++) {
-            opinions.observe(SMALL, 20, MIDDLE, 70);
+            gains.observe(SMALL, 20, MIDDLE, 70);
         }
-        assertThat(opinions.chance(SMALL, 20, MIDDLE)).isGreaterThan(0.9);
+        assertThat(gains.probabilityGoodEnough(SMALL, 20, MIDDLE)).isGreaterThan(0.9);
     }
 
     @Test
-    void opinionsAtTheEndOfTheScaleTeachNothing() {
-        final ConfidenceGains opinions = ConfidenceGains.empty();
-        final double before = opinions.chance(SMALL, 20, MIDDLE);
+    void confidenceAtTheEndsOfTheScaleIsIgnored() {
+        final ConfidenceGains gains = ConfidenceGains.empty();
+        final double before = gains.probabilityGoodEnough(SMALL, 20, MIDDLE);
         for (int i = 0; i < 200; i++) {
-            opinions.observe(SMALL, 0, MIDDLE, 90);
-            opinions.observe(SMALL, 60, MIDDLE, 100);
+            gains.observe(SMALL, 0, MIDDLE, 90);
+            gains.observe(SMALL, 60, MIDDLE, 100);
         }
-        assertThat(opinions.chance(SMALL, 20, MIDDLE)).isEqualTo(before);
+        assertThat(gains.probabilityGoodEnough(SMALL, 20, MIDDLE)).isEqualTo(before);
     }
 }
--- a/fennelstage-core/src/test/java/org/fennelstage/sizing/SizePlanTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/sizing/SizePlanTest.java
@@ -19,13 +19,13 @@
     private static final ModelId MIDDLE = ModelId.of("middle");
     private static final ModelId LARGE = ModelId.of("large");
 
-    private static Route route(final boolean resumable, final List<ModelId> sizes) {
+    private static Route route(final boolean retryable, final List<ModelId> sizes) {
         return new Route(
                 "digest",
                 "a.example",
                 "/",
                 RouteKind.STREAM,
-                resumable,
+                retryable,
                 false,
                 List.of(new WeightedService(ServiceName.of("models"), 1)),
                 3,
@@ -42,14 +42,14 @@
     }
 
     @Test
-    void theSmallestModelIsAskedFirstAndItsAnswerTakenIfItBelievesInIt() {
+    void smallestModelIsFirstAndItsAnswerAcceptedAtHighConfidence() {
         final SizePlan plan = plan();
         assertThat(plan.model()).contains(SMALL);
         assertThat(plan.nextModel(OptionalInt.of(80), m -> true)).isEmpty();
     }
 
     @Test
-    void anAnswerThatTheSmallestModelDoubtsIsAskedOfTheLargest() {
+    void lowConfidenceEscalatesToTheLargestModel() {
         final SizePlan plan = plan();
         assertThat(plan.nextModel(OptionalInt.of(20), m -> true)).contains(LARGE);
         plan.escalate(LARGE);
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void anAnswerThatTheSmallestModelNearlyBelievesInIsAskedOfTheMiddleOne() {
+    void mediumConfidenceEscalatesToTheMiddleModel() {
         final SizePlan plan = plan();
         assertThat(plan.nextModel(OptionalInt.of(45), m -> true)).contains(MIDDLE);
         plan.escalate(MIDDLE);
@@ -66,13 +66,9 @@
         assertThat(plan.nextModel(OptionalInt.of(40), m -> true)).contains(LARGE);
     }
 
-    /**
-     * Symptom: nearly a third of the answers with an opinion of 50 to 60 are not good enough.
-     * Cause: an opinion is wrong by some ten points, and the largest model was the only other
-     * choice, which costs too much for a half chance.
-     */
+    /** Guards against accepting uncertain answers that a middle model could improve at low cost. */
     @Test
-    void aMiddlingOpinionIsNotTakenWhereAMiddleModelWillDo() {
+    void confidenceAboveEvenStillEscalatesToALikelyMiddleModel() {
         assertThat(plan().nextModel(OptionalInt.of(55), m -> true)).contains(MIDDLE);
         final Route withoutMiddle = route(true, List.of(SMALL, LARGE));
         assertThat(
@@ -81,37 +77,27 @@
                 .isEmpty();
     }
 
-    /**
-     * Symptom: a request ends at its deadline though a model had answered it. Events: the small
-     * model doubts its answer, the large one is asked and has a long queue. Cause: the answer was
-     * dropped without a look at the time left.
-     */
+    /** Guards against dropping an answer when the larger model would miss the deadline. */
     @Test
-    void anAnswerIsTakenIfNoLargerModelCanBeInTime() {
+    void answerIsAcceptedIfTheLargerModelWouldBeTooLate() {
         assertThat(plan().nextModel(OptionalInt.of(20), m -> !m.equals(LARGE))).isEmpty();
     }
 
-    /**
-     * Symptom: middle models are asked in vain all day. Events: on this deployment the middle model
-     * is hardly better than the smallest. Cause: its gain was assumed and not learnt.
-     */
+    /** Guards against requests to a middle model that is hardly better than the smallest. */
     @Test
-    void aMiddleModelThatGainsNothingIsSoonLeftOut() {
-        final ConfidenceGains opinions = ConfidenceGains.empty();
+    void middleModelWithoutGainIsSkipped() {
+        final ConfidenceGains gains = ConfidenceGains.empty();
         for (int i = 0; i < 60; i++) {
-            opinions.observe(SMALL, 40, MIDDLE, 41);
+            gains.observe(SMALL, 40, MIDDLE, 41);
         }
         final SizePlan plan =
-                SizePlan.of(route(true, List.of(SMALL, MIDDLE, LARGE)), opinions, Policy.all());
+                SizePlan.of(route(true, List.of(SMALL, MIDDLE, LARGE)), gains, Policy.all());
         assertThat(plan.nextModel(OptionalInt.of(40), m -> true)).contains(LARGE);
     }
 
-    /**
-     * Symptom: a request runs twice that must not. Cause: a small model's answer dropped on a route
-     * whose requests may run once.
-     */
+    /** Guards against running a request twice on a route whose requests must not be retried. */
     @Test
-    void aRequestThatMustNotBeRepeatedAsksOneModelOnly() {
+    void requestThatMustNotBeRetriedUsesOnlyTheLargestModel() {
         final SizePlan plan =
                 SizePlan.of(
                         route(false, List.of(SMALL, LARGE)), ConfidenceGains.empty(), Policy.all());
@@ -119,7 +105,7 @@
     }
 
     @Test
-    void withoutSizesTheCallersModelStays() {
+    void withoutSizesTheCallersModelIsUsed() {
         final SizePlan plan =
                 SizePlan.of(route(true, List.of()), ConfidenceGains.empty(), Policy.all());
         assertThat(plan.model()).isEmpty();
--- a/spec/guards/run.py
+++ b/spec/guards/run.py
@@ -208,7 +208,7 @@
      "if (settling.isZero()) {", "if (settling.toNanos() >= 0) {",
      "HttpClientTest"),
     ("middle-model-is-learnt", CORE + "sizing/ConfidenceGains.java",
-     "gain(smaller, larger).add(then - opinion);", "gain(smaller, larger).add(FIRST_GAIN);",
+     "gain(smaller, larger).add(largerConfidence - confidence);", "gain(smaller, larger).add(INITIAL_GAIN);",
      "ConfidenceGainsTest,SizePlanTest"),
     ("ends-are-counted", GATEWAY + "gateway/CrashWatch.java",
      "if (ends >= CrashLedger.MOST_CRASHES) {", "if (ends >= 50) {",
