--- a/fennelstage-core/src/main/java/org/fennelstage/placement/Job.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/placement/Job.java
@@ -5,27 +5,27 @@
 import org.fennelstage.id.ModelId;
 
 /**
- * A request as placement sees it: what it asks of a worker, in the worker's time. Immutable and
+ * What placement needs to know of a request to estimate its cost at a backend server. Immutable and
  * thread-safe.
  *
- * @param prompt what it asks of an engine, empty for a plain service
- * @param model the model that is asked, empty if there is no choice
- * @param sharing whether it is to go where others with the same part went
- * @param millisPerToken how long a worker takes to read a token of the prompt; milliseconds
- * @param answerMillis how long such a request usually keeps a place at a worker; milliseconds
+ * @param prompt the prompt, empty for a service without models
+ * @param model the model, empty if there is no choice
+ * @param sharing whether to prefer backend servers that likely have the shared prompt part cached
+ * @param millisPerToken time in which a backend server reads one prompt token; milliseconds
+ * @param responseMillis expected time that such a request runs; milliseconds
  */
 public record Job(
         Optional<Prompt> prompt,
         Optional<ModelId> model,
         boolean sharing,
         double millisPerToken,
-        double answerMillis) {
+        double responseMillis) {
 
     /**
-     * By how much one more running request lengthens the answers of an engine: its steps become
-     * half a part in a hundred longer, since all requests of a batch advance together.
+     * Relative slowdown of a model's response per further running request, since all requests of a
+     * batch advance together.
      */
-    private static final double ENGINE_SLOWDOWN = 0.005;
+    private static final double BATCH_SLOWDOWN = 0.005;
 
     public Job {
         Objects.requireNonNull(prompt, "prompt is null");
@@ -33,22 +33,22 @@
     }
 
     /**
-     * Returns the time to read the prompt if no part of it is in memory.
+     * Returns the time to read the prompt if no part of it is cached.
      *
-     * @return milliseconds, zero for a plain service
+     * @return milliseconds, zero without a prompt
      */
     public long readMillis() {
         return prompt.map(p -> Math.round(p.promptTokens() * millisPerToken)).orElse(0L);
     }
 
-    /** The time saved where the parts that other requests share are in memory; milliseconds. */
+    /** Returns the time saved if the shared prompt parts are cached; milliseconds. */
     double sharedMillis() {
         return sharing ? prompt.map(p -> p.sharedTokens() * millisPerToken).orElse(0.0) : 0;
     }
 
     /**
-     * Names what the request shares with others, empty if nothing. Engines keep a part for each
-     * model by itself.
+     * Returns the key of the shared prompt part, empty if nothing is shared. It contains the model,
+     * since the prompt cache is separate for each model.
      */
     Optional<String> affinity() {
         return prompt.filter(p -> sharing)
@@ -56,8 +56,8 @@
                 .map(part -> part.id() + "/" + model.map(ModelId::value).orElse(""));
     }
 
-    /** What each request that runs beside this one costs it; milliseconds. */
-    double neighbourMillis(final int capacity) {
-        return prompt.isPresent() ? answerMillis * ENGINE_SLOWDOWN : answerMillis / capacity;
+    /** Returns the delay caused by each other request that runs there; milliseconds. */
+    double delayPerRequestMillis(final int capacity) {
+        return prompt.isPresent() ? responseMillis * BATCH_SLOWDOWN : responseMillis / capacity;
     }
 }
--- a/fennelstage-core/src/main/java/org/fennelstage/placement/Placement.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/placement/Placement.java
@@ -17,51 +17,39 @@
 import org.fennelstage.member.Rendezvous;
 
 /**
- * Chooses the worker of a request: the one where it is expected to begin first.
+ * Chooses the backend server where a request is expected to begin first.
  *
- * <p>The expected wait is the time to read the prompts that were sent before and are not read yet,
- * by all VMs as far as they say ({@link LoadBoard}); the time until a place is free, where all are
- * taken; and the time to read the own prompt, less what is saved where the worker has the shared
- * part in memory. All VMs agree without a word which worker that is: the one with the highest
- * random weight of the part. So a part that everybody asks for spreads over as many workers as its
- * load needs, and no further.
+ * <p>The expected wait is the time to read the prompts that all VMs have sent there before (see
+ * {@link LoadBoard}), the time until a slot is free, and the time to read the request's own prompt,
+ * less what a cached shared prompt part saves. Which backend servers likely have a part cached
+ * follows from rendezvous hashing of the part, so all VMs agree without messages. A part in high
+ * demand spreads over more servers as the wait at the first ones grows.
  *
- * <p>Answers the load of long prompts beside short ones, which would wait behind those that other
- * VMs had sent to the same worker.
+ * <p>Only a few backend servers are compared for each request: those that likely have the shared
+ * part cached, and some chosen at random.
  *
- * <p>Few workers are compared for each request: those that likely hold the shared part, and some
- * drawn at random.
- *
- * <p>Law: a worker of a worse {@link ServerHealth.Tier} is chosen only if there is none of a better
- * one. Not thread-safe, as its random source.
+ * <p>Invariant: a backend server of a worse {@link ServerHealth.Tier} is chosen only if there is
+ * none of a better one. Not thread-safe.
  */
 public final class Placement {
 
     /**
-     * How often the saved time counts at the worker of the highest weight, and at the second, which
-     * gets what is too much for the first. More than once, since others gain as well: while a
-     * prompt is read all that run there wait, and what is read again is paid for.
+     * Factors on the saved time at the backend servers with the highest and second highest weight.
+     * Above one, because reading a prompt also delays other requests there and costs money.
      */
-    private static final double[] MEMORY_WORTH = {6, 3};
+    private static final double[] CACHE_FACTORS = {6, 3};
 
     /**
-     * Workers that are compared beside those that likely hold the shared part, drawn anew for each
-     * request. What other VMs have is known with a delay: if all compared all workers, the one that
-     * was idle a moment ago would get the next request of each VM.
+     * Number of backend servers chosen at random for the comparison. The load of other VMs is known
+     * with a delay, so comparing all would make every VM select the same idle server.
      */
-    private static final int DRAWN = 3;
+    private static final int RANDOM_CANDIDATES = 3;
 
-    /**
-     * What another data centre costs, in requests that run beside this one: the way there and back,
-     * and bytes that are paid for.
-     */
-    private static final double AWAY_NEIGHBOURS = 0.5;
+    /** Cost of another data centre, in running requests: network latency and paid traffic. */
+    private static final double OTHER_DATA_CENTRE_REQUESTS = 0.5;
 
-    /**
-     * Ties are broken by as much, in the same unit, so that VMs with the same news do not all turn
-     * to one worker.
-     */
-    private static final double JITTER_NEIGHBOURS = 0.25;
+    /** Random cost in the same unit, so that VMs with equal reports choose different servers. */
+    private static final double JITTER_REQUESTS = 0.25;
 
     private final DataCentreId own;
     private final RandomGenerator random;
@@ -74,11 +62,11 @@
     }
 
     /**
-     * Returns a placement for one VM.
+     * Returns the placement of one VM.
      *
      * @param own the VM's data centre
      * @param random breaks ties
-     * @param board what the other VMs have at the workers
+     * @param board the load of the other VMs
      * @return the placement
      */
     public static Placement of(
@@ -90,13 +78,13 @@
     }
 
     /**
-     * Chooses a worker.
+     * Chooses a backend server.
      *
-     * @param candidates the workers that may get the request
-     * @param job what the request asks of a worker
-     * @param mayProbe whether the request may try a worker that could not be reached lately
-     * @param excluded workers to avoid, used only if no other is left
-     * @return the worker, empty if there is no candidate
+     * @param candidates the backend servers that may get the request
+     * @param job the request
+     * @param mayProbe whether the request may probe a backend server that was unreachable
+     * @param excluded backend servers to avoid, used only if no other is left
+     * @return the backend server, empty if there is no candidate
      */
     public Optional<TrackedServer> choose(
             final List<TrackedServer> candidates,
@@ -113,7 +101,7 @@
         if (best.isEmpty()) {
             return Optional.empty();
         }
-        return Optional.of(soonest(best, job));
+        return Optional.of(shortestWait(best, job));
     }
 
     private static Optional<TrackedServer> probe(
@@ -144,20 +132,20 @@
         return best;
     }
 
-    private TrackedServer soonest(final List<TrackedServer> servers, final Job job) {
-        final List<TrackedServer> inMemory = likelyInMemory(servers, job);
-        final Set<TrackedServer> compared = new LinkedHashSet<>(inMemory);
+    private TrackedServer shortestWait(final List<TrackedServer> servers, final Job job) {
+        final List<TrackedServer> cached = likelyCached(servers, job);
+        final Set<TrackedServer> compared = new LinkedHashSet<>(cached);
         final int first = random.nextInt(servers.size());
-        for (int i = 0; i < Math.min(DRAWN, servers.size()); i++) {
+        for (int i = 0; i < Math.min(RANDOM_CANDIDATES, servers.size()); i++) {
             compared.add(servers.get((first + i) % servers.size()));
         }
         TrackedServer chosen = servers.get(first);
-        double least = Double.MAX_VALUE;
+        double shortest = Double.MAX_VALUE;
         for (final TrackedServer server : compared) {
-            final double saved = saved(inMemory.indexOf(server), job);
+            final double saved = saved(cached.indexOf(server), job);
             final double wait = waitMillis(server, job) - saved + tieBreak(server, job);
-            if (wait < least) {
-                least = wait;
+            if (wait < shortest) {
+                shortest = wait;
                 chosen = server;
             }
         }
@@ -165,10 +153,9 @@
     }
 
     /**
-     * Returns how long a request would wait for its first byte at a worker, if nothing of its
-     * prompt is in memory.
+     * Returns the expected wait of a request for its first byte if no part of its prompt is cached.
      *
-     * @param server the worker
+     * @param server the backend server
      * @param job the request
      * @return milliseconds
      */
@@ -177,75 +164,77 @@
         final int capacity = Math.max(1, server.entry().capacity());
         final int ahead = Math.max(0, load.running() + 1 - capacity);
         return load.unreadMillis()
-                + ahead * job.answerMillis() / capacity
-                + load.running() * job.neighbourMillis(capacity)
+                + ahead * job.responseMillis() / capacity
+                + load.running() * job.delayPerRequestMillis(capacity)
                 + job.readMillis();
     }
 
     /**
-     * Returns the shortest time in which any worker can begin to answer, if all places are taken.
+     * Returns the shortest expected wait at any reachable backend server if all slots are taken.
      *
-     * <p>While a place is free nothing is said: how long a prompt takes to read is an estimate, and
-     * a VM that just started, or is slow itself, takes its own delays for the workers'.
+     * <p>While a slot is free there is no estimate: the time to read a prompt is overestimated by a
+     * VM that has just started or is slow itself, and requests would be rejected without need.
      *
-     * @param candidates the workers that may get the request
+     * @param candidates the backend servers that may get the request
      * @param job the request
-     * @return milliseconds, empty if a place is free or no worker can be reached
+     * @return milliseconds, empty if a slot is free or no backend server is reachable
      */
     public OptionalDouble minWaitMillis(final List<TrackedServer> candidates, final Job job) {
-        double least = Double.MAX_VALUE;
+        double min = Double.MAX_VALUE;
         for (final TrackedServer server : candidates) {
             if (server.health().tier() == ServerHealth.Tier.UNREACHABLE) {
                 continue;
             }
-            if (hasFreePlace(server)) {
+            if (hasFreeSlot(server)) {
                 return OptionalDouble.empty();
             }
-            least = Math.min(least, waitMillis(server, job) - job.sharedMillis());
+            min = Math.min(min, waitMillis(server, job) - job.sharedMillis());
         }
-        return least == Double.MAX_VALUE ? OptionalDouble.empty() : OptionalDouble.of(least);
+        return min == Double.MAX_VALUE ? OptionalDouble.empty() : OptionalDouble.of(min);
     }
 
-    private boolean hasFreePlace(final TrackedServer server) {
+    private boolean hasFreeSlot(final TrackedServer server) {
         final Load load = server.load().plus(board.others(server.entry().id()));
         return load.running() < server.entry().capacity();
     }
 
     private double tieBreak(final TrackedServer server, final Job job) {
         final boolean near = server.entry().dataCentre().equals(own);
-        final double neighbours =
-                (near ? 0 : AWAY_NEIGHBOURS) + random.nextDouble() * JITTER_NEIGHBOURS;
-        return neighbours * job.neighbourMillis(Math.max(1, server.entry().capacity()));
+        final double requests =
+                (near ? 0 : OTHER_DATA_CENTRE_REQUESTS) + random.nextDouble() * JITTER_REQUESTS;
+        return requests * job.delayPerRequestMillis(Math.max(1, server.entry().capacity()));
     }
 
     private static double saved(final int rank, final Job job) {
-        return rank < 0 ? 0 : MEMORY_WORTH[rank] * job.sharedMillis();
+        return rank < 0 ? 0 : CACHE_FACTORS[rank] * job.sharedMillis();
     }
 
-    /** The workers that likely hold the shared part, the likeliest first. */
-    private static List<TrackedServer> likelyInMemory(
+    /** Returns the backend servers that likely have the shared part cached, likeliest first. */
+    private static List<TrackedServer> likelyCached(
             final List<TrackedServer> servers, final Job job) {
         if (job.affinity().isEmpty()) {
             return List.of();
         }
         final long part = Rendezvous.hash(job.affinity().get());
-        final List<TrackedServer> ranked = new ArrayList<>(MEMORY_WORTH.length);
-        for (int i = 0; i < Math.min(MEMORY_WORTH.length, servers.size()); i++) {
+        final List<TrackedServer> ranked = new ArrayList<>(CACHE_FACTORS.length);
+        for (int i = 0; i < Math.min(CACHE_FACTORS.length, servers.size()); i++) {
             ranked.add(heaviest(servers, part, ranked));
         }
         return ranked;
     }
 
-    /** Returns the worker of the highest weight that is not among some; one at least is not. */
+    /** Returns the one of the highest weight that is not excluded; at least one must not be. */
     private static TrackedServer heaviest(
-            final List<TrackedServer> servers, final long part, final List<TrackedServer> without) {
+            final List<TrackedServer> servers,
+            final long part,
+            final List<TrackedServer> excluded) {
         TrackedServer heaviest = null;
-        long most = Long.MIN_VALUE;
+        long highest = Long.MIN_VALUE;
         for (final TrackedServer server : servers) {
             final long weight = Rendezvous.weight(part, server.idHash());
-            if ((heaviest == null || weight > most) && !without.contains(server)) {
+            if ((heaviest == null || weight > highest) && !excluded.contains(server)) {
                 heaviest = server;
-                most = weight;
+                highest = weight;
             }
         }
         return heaviest;
--- a/fennelstage-core/src/main/java/org/fennelstage/placement/Prompt.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/placement/Prompt.java
@@ -4,10 +4,10 @@
 import java.util.Optional;
 
 /**
- * What a request asks of a model engine. Immutable and thread-safe.
+ * The prompt of a request to a model. Immutable and thread-safe.
  *
  * @param parts the parts of the prompt in order; the last is the request's own
- * @param promptTokens the length of the whole prompt
+ * @param promptTokens the length of the whole prompt; tokens
  * @param maxOutputTokens the largest number of tokens to generate
  */
 public record Prompt(List<PromptPart> parts, int promptTokens, int maxOutputTokens) {
@@ -29,7 +29,7 @@
     }
 
     /**
-     * Returns the longest part that other requests share: the one before the request's own.
+     * Returns the last part that other requests may share, which precedes the request's own.
      *
      * @return the part, empty if the prompt has no such part
      */
--- a/fennelstage-core/src/main/java/org/fennelstage/placement/PromptPart.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/placement/PromptPart.java
@@ -5,8 +5,8 @@
 /**
  * A part of a prompt that other requests may share. Immutable and thread-safe.
  *
- * @param id names its content
- * @param tokens its length
+ * @param id identifies its content
+ * @param tokens its length; tokens
  */
 public record PromptPart(String id, int tokens) {
 
--- a/fennelstage-core/src/main/java/org/fennelstage/placement/package-info.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/placement/package-info.java
@@ -1,2 +1,2 @@
-/** Which worker gets a request. */
+/** Chooses the backend server that gets a request. */
 package org.fennelstage.placement;
--- a/fennelstage-core/src/test/java/org/fennelstage/placement/PlacementTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/placement/PlacementTest.java
@@ -63,30 +63,26 @@
     }
 
     @Test
-    void requestsThatShareAPartGoToTheSameServerWhileItsLoadIsUsual() {
+    void requestsThatShareAPromptPartGoToTheSameServer() {
         final List<TrackedServer> servers = servers(13);
         final TrackedServer first = choose(servers, "topic").orElseThrow();
         assertThat(choose(servers, "topic")).contains(first);
     }
 
-    /**
-     * Symptom: one worker is buried while others are idle. Events: a topic is in the news and
-     * everybody asks for it. Cause: the worker that has the topic in memory was chosen whatever its
-     * load.
-     */
+    /** Guards against overloading the server that likely has a popular prompt part cached. */
     @Test
-    void aTopicThatEverybodyAsksForIsSpreadOverServers() {
+    void popularPromptPartIsSpreadOverServers() {
         final List<TrackedServer> servers = servers(13);
-        final long work = job(prompt("topic")).readMillis();
+        final long readMillis = job(prompt("topic")).readMillis();
         for (int i = 0; i < 130; i++) {
-            choose(servers, "topic").orElseThrow().begin(work);
+            choose(servers, "topic").orElseThrow().begin(readMillis);
         }
-        final int most = servers.stream().mapToInt(TrackedServer::running).max().orElseThrow();
-        assertThat(most).isLessThanOrEqualTo(18);
+        final int max = servers.stream().mapToInt(TrackedServer::running).max().orElseThrow();
+        assertThat(max).isLessThanOrEqualTo(18);
     }
 
     @Test
-    void plainRequestsStayInTheOwnDataCentreWhileItsServersAreAsIdleAsOthers() {
+    void requestsPreferTheOwnDataCentreAtEqualLoad() {
         final List<TrackedServer> servers = servers(3);
         final TrackedServer chosen =
                 placement.choose(servers, job(Optional.empty()), false, s -> false).orElseThrow();
@@ -98,7 +94,7 @@
     }
 
     @Test
-    void aServerThatCannotBeReachedIsChosenOnlyIfThereIsNoOther() {
+    void unreachableServerIsChosenOnlyIfThereIsNoOther() {
         final List<TrackedServer> servers = servers(2);
         servers.get(0).health().onUnreachable();
         for (int i = 0; i < 20; i++) {
@@ -112,7 +108,7 @@
     }
 
     @Test
-    void aServerThatWasTriedIsChosenAgainOnlyIfThereIsNoOther() {
+    void excludedServerIsChosenOnlyIfThereIsNoOther() {
         final List<TrackedServer> servers = servers(2);
         assertThat(placement.choose(servers, job(prompt("t")), false, s -> s == servers.get(0)))
                 .contains(servers.get(1));
@@ -120,12 +116,9 @@
                 .contains(servers.get(0));
     }
 
-    /**
-     * Symptom: while a data centre is cut off, a payment waits in vain for a connection each
-     * second. Cause: after its pause an unreachable worker was chosen like any other.
-     */
+    /** Guards against probing an unreachable server with requests that cannot afford a failure. */
     @Test
-    void aServerThatCouldNotBeReachedIsTriedAgainOnlyByRequestsThatLoseLittleByIt() {
+    void unreachableServerIsProbedOnlyByRequestsThatMayProbe() {
         final List<TrackedServer> servers = servers(2);
         servers.get(0).health().onUnreachable();
         now.addAndGet(500);
@@ -141,34 +134,30 @@
         assertThat(servers.get(0).health().tier()).isEqualTo(ServerHealth.Tier.SOUND);
     }
 
-    /**
-     * Symptom: a caption waits for five seconds while other workers are idle. Events: other VMs
-     * have sent long prompts to the worker that likely holds the caption's shared part. Cause: only
-     * this VM's own requests were known.
-     */
+    /** Guards against placing a short request behind long prompts that other VMs have sent. */
     @Test
-    void aShortRequestDoesNotWaitBehindLongPromptsOfOtherVms() {
+    void shortRequestDoesNotWaitBehindLongPromptsOfOtherVms() {
         final LoadBoard board = LoadBoard.of(now::get, () -> 1);
-        final Placement informed = Placement.of(OWN, new Random(7), board);
+        final Placement withReports = Placement.of(OWN, new Random(7), board);
         final List<TrackedServer> servers = servers(13);
-        final Job caption = job(prompt("topic"));
+        final Job shortJob = job(prompt("topic"));
         final TrackedServer first =
-                informed.choose(servers, caption, false, s -> false).orElseThrow();
+                withReports.choose(servers, shortJob, false, s -> false).orElseThrow();
         board.onReport(VmId.of("vm-2"), Map.of(first.entry().id(), new Load(2, 5_000)));
         final TrackedServer next =
-                informed.choose(servers, caption, false, s -> false).orElseThrow();
+                withReports.choose(servers, shortJob, false, s -> false).orElseThrow();
         assertThat(next).isNotEqualTo(first);
-        assertThat(informed.waitMillis(first, caption)).isGreaterThan(5_000);
+        assertThat(withReports.waitMillis(first, shortJob)).isGreaterThan(5_000);
     }
 
     @Test
-    void aServerWhosePlacesAreAllTakenIsChosenAfterOneWithFreePlaces() {
+    void fullServerIsChosenAfterOneWithFreeSlots() {
         final LoadBoard board = LoadBoard.of(now::get, () -> 1);
-        final Placement informed = Placement.of(OWN, new Random(7), board);
+        final Placement withReports = Placement.of(OWN, new Random(7), board);
         final List<TrackedServer> servers = servers(2);
         board.onReport(VmId.of("vm-2"), Map.of(servers.get(0).entry().id(), new Load(64, 0)));
         for (int i = 0; i < 20; i++) {
-            assertThat(informed.choose(servers, job(Optional.empty()), false, s -> false))
+            assertThat(withReports.choose(servers, job(Optional.empty()), false, s -> false))
                     .contains(servers.get(1));
         }
     }
@@ -180,7 +169,7 @@
     }
 
     @Test
-    void theLeastWaitIsThatOfTheFreestServerThatCanBeReached() {
+    void minWaitIsThatOfTheLeastLoadedReachableServer() {
         final List<TrackedServer> servers = servers(2);
         fill(servers.get(0), 4_000);
         fill(servers.get(1), 100);
@@ -193,14 +182,9 @@
         assertThat(placement.minWaitMillis(servers, job(prompt("t")))).isEmpty();
     }
 
-    /**
-     * Symptom: after all VMs were lost, callers with long prompts are refused for seconds while
-     * workers are idle. Events: VMs start with a share of a core; their first answers come late
-     * because they are slow themselves; the time to read a prompt seems longer than callers wait.
-     * Cause: a request was refused for an estimate although a place was free.
-     */
+    /** Guards against rejecting requests because of an overestimated wait while a slot is free. */
     @Test
-    void whileAPlaceIsFreeNoWaitIsForetold() {
+    void thereIsNoMinWaitWhileASlotIsFree() {
         final List<TrackedServer> servers = servers(2);
         fill(servers.get(0), 60_000);
         servers.get(1).begin(60_000);
@@ -208,7 +192,7 @@
     }
 
     @Test
-    void withoutServersThereIsNoChoice() {
+    void choiceIsEmptyWithoutServers() {
         assertThat(placement.choose(List.of(), job(Optional.empty()), false, s -> false)).isEmpty();
     }
 
--- a/spec/guards/run.py
+++ b/spec/guards/run.py
@@ -166,7 +166,7 @@
      "begunAnswers >= ENOUGH_ANSWERS && stalledMillis", "begunAnswers >= 100 * ENOUGH_ANSWERS && stalledMillis",
      "SilenceTest"),
     ("few-workers-are-compared", CORE + "placement/Placement.java",
-     "i < Math.min(DRAWN, servers.size())", "i < Math.min(100 * DRAWN, servers.size())",
+     "i < Math.min(RANDOM_CANDIDATES, servers.size())", "i < Math.min(100 * RANDOM_CANDIDATES, servers.size())",
      "PlayTest"),
     ("refusal-needs-knowledge", CORE + "attempt/Pace.java",
      "return answers >= ANSWERS_TO_KNOW;", "return answers >= ANSWERS_TO_KNOW - 10;",
