--- a/fennelstage-core/src/main/java/org/fennelstage/fleet/ConnectionShare.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/fleet/ConnectionShare.java
@@ -1,44 +1,43 @@
 package org.fennelstage.fleet;
 
 /**
- * How many connections a VM keeps at one worker while no call uses them.
+ * How many idle connections a VM keeps to one backend server.
  *
- * <p>A worker accepts a number of connections from all VMs together and resets what goes beyond it.
- * What VMs keep adds up over the fleet while calls under way do not: those are bounded by what the
- * worker works on. Kept without regard to the other VMs, they fill a worker by themselves; it
- * resets new ones, and calls that may run once end with their outcome unknown.
+ * <p>A backend server accepts a limited number of connections from all VMs together and resets any
+ * beyond that. Idle connections add up over the VMs; if they used up the limit, new connections
+ * would be reset, and requests that must not be retried would end with an unknown outcome.
  *
- * <p>Law: what all VMs keep stays within {@link #KEPT_PART} of what the worker accepts, as long as
- * each knows of all others. Immutable and thread-safe.
+ * <p>Invariant: the idle connections of all VMs stay within {@link #IDLE_FRACTION} of the limit, as
+ * long as each VM knows all others. Immutable and thread-safe.
  *
  * <pre>{@code
  * new ConnectionShare(440, 64).maxIdleConnections()  // 3
  * }</pre>
  *
- * @param accepted how many connections the worker accepts from all VMs together
- * @param vms how many VMs there are, 0 if that is not known yet
+ * @param accepted how many connections the backend server accepts from all VMs together
+ * @param vms how many VMs there are, 0 if not known yet
  */
 public record ConnectionShare(int accepted, int vms) {
 
     /**
-     * Part of the connections that may be kept. The rest is for calls under way, for VMs that have
-     * just started, and for a worker that accepts fewer while its queue is long.
+     * Fraction of the accepted connections that may be idle. The rest is for running requests and
+     * for VMs that have just started.
      */
-    static final double KEPT_PART = 0.5;
+    static final double IDLE_FRACTION = 0.5;
 
-    /** More than that are never of use to one VM. */
-    static final int MOST = 16;
+    /** Upper limit of idle connections that one VM keeps. */
+    static final int MAX_IDLE = 16;
 
-    /** VMs assumed by one that has just started and does not know the others. */
-    private static final int VMS_UNTIL_KNOWN = 64;
+    /** Number of VMs assumed until the others are known. */
+    private static final int DEFAULT_VMS = 64;
 
     /**
-     * Returns how many idle connections this VM keeps at the worker.
+     * Returns how many idle connections this VM keeps to the backend server.
      *
-     * @return the count, 0 if each call is to have a connection of its own
+     * @return the count, 0 if each request opens its own connection
      */
     public int maxIdleConnections() {
-        final int sharers = vms > 0 ? vms : VMS_UNTIL_KNOWN;
-        return Math.min(MOST, (int) (accepted * KEPT_PART / sharers));
+        final int sharers = vms > 0 ? vms : DEFAULT_VMS;
+        return Math.min(MAX_IDLE, (int) (accepted * IDLE_FRACTION / sharers));
     }
 }
--- a/fennelstage-core/src/main/java/org/fennelstage/fleet/Eligibility.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/fleet/Eligibility.java
@@ -10,125 +10,128 @@
 import org.fennelstage.serving.WarmUp;
 
 /**
- * Whether a worker may get a request now, and when it may again.
+ * Decides whether a backend server may get a request now, and if not, when it may.
  *
- * <p>A worker may not while its data centre is being evacuated, while it wants nothing from this
- * VM, and while it is cold and this VM has used up its share of what the worker stands. Answers a
- * data centre that comes back cold under full load: its empty workers would attract all VMs at
+ * <p>A backend server is not eligible while its data centre is evacuated, while it rejects requests
+ * from this VM, and while it is warming up and this VM has used up its share of the warm-up rate.
+ * This keeps the VMs from overloading restarted servers, whose low load would attract all VMs at
  * once.
  *
- * <p>While the store is away nobody hears that a worker has started again and is cold. A worker
- * that was out of reach a moment ago is then taken for one that has.
+ * <p>While the store is unavailable, restarts are not reported. A backend server that was recently
+ * unreachable is then treated as restarted and warming up.
  *
- * <p>Law: {@code isEligible(s)} is {@code wait(s)} being zero. Not thread-safe.
+ * <p>Invariant: {@code isEligible(s)} holds if and only if {@code wait(s)} is zero. Not
+ * thread-safe.
  */
 public final class Eligibility {
 
     /**
-     * Why workers may get no request now.
+     * Why backend servers may get no request now.
      *
-     * @param evacuated how many stand in data centres that are being emptied
-     * @param warmingUp how many are cold, and this VM has used up its share
-     * @param rejecting how many want nothing from this VM
+     * @param evacuated how many are in evacuated data centres
+     * @param warmingUp how many are warming up while this VM has used up its share
+     * @param rejecting how many reject requests from this VM
      */
     public record Reasons(int evacuated, int warmingUp, int rejecting) {}
 
     private final Evacuations evacuations;
     private final WarmUpShares shares;
     private final Function<ServiceName, Optional<WarmUp>> warmUps;
-    private final BooleanSupplier storeAway;
+    private final BooleanSupplier storeUnavailable;
 
     /**
-     * Creates it.
+     * Creates the eligibility rules of one VM.
      *
-     * @param evacuations the data centres that are being emptied
-     * @param shares this VM's part of what cold workers stand
-     * @param warmUps what cold workers of a service stand
-     * @param storeAway tells whether nothing is heard of workers
+     * @param evacuations the evacuated data centres
+     * @param shares this VM's share of the warm-up rate of each backend server
+     * @param warmUps the warm-up settings of a service, empty if it needs no warm-up
+     * @param storeUnavailable returns whether the store cannot be reached
      */
     public Eligibility(
             final Evacuations evacuations,
             final WarmUpShares shares,
             final Function<ServiceName, Optional<WarmUp>> warmUps,
-            final BooleanSupplier storeAway) {
+            final BooleanSupplier storeUnavailable) {
         this.evacuations = Objects.requireNonNull(evacuations, "evacuations is null");
         this.shares = Objects.requireNonNull(shares, "shares is null");
         this.warmUps = Objects.requireNonNull(warmUps, "warmUps is null");
-        this.storeAway = Objects.requireNonNull(storeAway, "storeAway is null");
+        this.storeUnavailable =
+                Objects.requireNonNull(storeUnavailable, "storeUnavailable is null");
     }
 
     /**
-     * Tells whether a worker may get a request now.
+     * Returns whether a backend server may get a request now.
      *
-     * @param server the worker
-     * @return true if nothing speaks against it
+     * @param server the backend server
+     * @return true if no restriction applies
      */
     public boolean isEligible(final TrackedServer server) {
-        final boolean nothingIsUp = evacuations.size() == 0 && !storeAway.getAsBoolean();
-        if (nothingIsUp && server.isUnrestricted()) {
+        final boolean noGlobalRestriction =
+                evacuations.size() == 0 && !storeUnavailable.getAsBoolean();
+        if (noGlobalRestriction && server.isUnrestricted()) {
             return true;
         }
         return wait(server).filter(Duration::isZero).isPresent();
     }
 
     /**
-     * Returns when a worker may get a request.
+     * Returns how long until a backend server may get a request.
      *
-     * @param server the worker
-     * @return the time until then, empty if nobody knows
+     * @param server the backend server
+     * @return the time until then, empty if it is unknown
      */
     public Optional<Duration> wait(final TrackedServer server) {
         if (evacuations.includes(server.entry().dataCentre())) {
             return Optional.empty();
         }
-        final Duration wanted = server.rejectsFor();
-        final Duration cold = whileCold(server);
-        return Optional.of(wanted.compareTo(cold) > 0 ? wanted : cold);
+        final Duration rejects = server.rejectsFor();
+        final Duration warmUp = warmUpDelay(server);
+        return Optional.of(rejects.compareTo(warmUp) > 0 ? rejects : warmUp);
     }
 
     /**
-     * Counts the workers that may get no request now, by the first reason for it.
+     * Counts the backend servers that may get no request now, each by its first reason.
      *
-     * @param servers the workers
+     * @param servers the backend servers
      * @return the counts
      */
     public Reasons reasons(final Collection<TrackedServer> servers) {
         int evacuated = 0;
-        int cold = 0;
-        int wantNothing = 0;
+        int warmingUp = 0;
+        int rejecting = 0;
         for (final TrackedServer server : servers) {
             if (evacuations.includes(server.entry().dataCentre())) {
                 evacuated++;
             } else if (!server.rejectsFor().isZero()) {
-                wantNothing++;
+                rejecting++;
             } else if (!isEligible(server)) {
-                cold++;
+                warmingUp++;
             }
         }
-        return new Reasons(evacuated, cold, wantNothing);
+        return new Reasons(evacuated, warmingUp, rejecting);
     }
 
     /**
-     * Notes that a data centre was taken back. Its workers may have become cold shortly before, and
-     * their entries may not say so yet.
+     * Records that the evacuation of a data centre ended. Its backend servers may have restarted
+     * shortly before without having updated their entries, so they are treated as warming up.
      *
-     * @param server a worker there
+     * @param server a backend server of the data centre
      */
     public void onEvacuationEnded(final TrackedServer server) {
         warmUps.apply(server.entry().service()).ifPresent(w -> server.onPossibleRestart(w.time()));
     }
 
-    private Duration whileCold(final TrackedServer server) {
-        final boolean outOfSight = storeAway.getAsBoolean();
-        if (server.warmUpLeft().isZero() && !outOfSight) {
+    private Duration warmUpDelay(final TrackedServer server) {
+        final boolean restartsUnreported = storeUnavailable.getAsBoolean();
+        if (server.warmUpLeft().isZero() && !restartsUnreported) {
             return Duration.ZERO;
         }
         final Optional<WarmUp> warmUp = warmUps.apply(server.entry().service());
         if (warmUp.isEmpty()) {
             return Duration.ZERO;
         }
-        if (outOfSight) {
-            suspectRestart(server, warmUp.get());
+        if (restartsUnreported) {
+            assumeRestartIfUnreachable(server, warmUp.get());
         }
         return server.warmUpLeft().isZero()
                 ? Duration.ZERO
@@ -136,8 +139,9 @@
                         shares.of(server.entry().id(), warmUp.get().requestsPerSecond()));
     }
 
-    private static void suspectRestart(final TrackedServer server, final WarmUp warmUp) {
-        final long sinceMillis = server.health().backMillis();
+    private static void assumeRestartIfUnreachable(
+            final TrackedServer server, final WarmUp warmUp) {
+        final long sinceMillis = server.health().millisSinceUnreachable();
         if (sinceMillis < warmUp.time().toMillis()) {
             server.onPossibleRestart(warmUp.time().minusMillis(sinceMillis));
         }
--- a/fennelstage-core/src/main/java/org/fennelstage/fleet/Evacuations.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/fleet/Evacuations.java
@@ -7,17 +7,15 @@
 import org.fennelstage.time.MonotonicClock;
 
 /**
- * The data centres that operators are emptying: their workers get nothing new until they are taken
- * back.
+ * The evacuated data centres, whose backend servers get no new requests.
  *
- * <p>A store that comes back from an older copy may have lost an evacuation, or hold one that has
- * ended. Operators write again what it lost, but until then a VM that took the copy at its word
- * would send requests to workers that are about to be switched off. So what was in force before
- * stays in force until {@link #settle}; an evacuation that the copy still holds is obeyed, which
- * costs its data centre's capacity until operators end it again.
+ * <p>A store that was restored from an older copy may lack an evacuation that is in force, or list
+ * one that has ended. To send no requests to backend servers that are about to be switched off,
+ * evacuations in force stay so until {@link #settle}, which leaves operators time to write them
+ * again. Evacuations that the copy lists are applied.
  *
- * <p>Law: after {@code begin(dc)}, {@code includes(dc)} holds until {@code end(dc)}, or until a
- * list that lacks it is taken while nothing is unsettled. Not thread-safe.
+ * <p>Invariant: after {@code begin(dc)}, {@code includes(dc)} holds until {@code end(dc)}, or until
+ * a list without {@code dc} is applied while no restore is unsettled. Not thread-safe.
  *
  * <pre>{@code
  * evacuations.begin(dc);
@@ -30,15 +28,15 @@
     private final Set<DataCentreId> inForce = new HashSet<>();
     private final Set<DataCentreId> listed = new HashSet<>();
     private boolean unsettled;
-    private long heardMillis;
+    private long lastReadMillis;
 
     private Evacuations(final MonotonicClock clock) {
         this.clock = clock;
-        this.heardMillis = clock.millis();
+        this.lastReadMillis = clock.millis();
     }
 
     /**
-     * Returns evacuations of which none is in force.
+     * Returns an instance without evacuations.
      *
      * @param clock the clock
      * @return the evacuations
@@ -48,10 +46,10 @@
     }
 
     /**
-     * Notes that a data centre is to be emptied.
+     * Records that the evacuation of a data centre started.
      *
      * @param dataCentre the data centre
-     * @return false if that was known
+     * @return false if it was already evacuated
      */
     public boolean begin(final DataCentreId dataCentre) {
         listed.add(Objects.requireNonNull(dataCentre, "dataCentre is null"));
@@ -59,10 +57,10 @@
     }
 
     /**
-     * Notes that a data centre is taken back.
+     * Records that the evacuation of a data centre ended.
      *
      * @param dataCentre the data centre
-     * @return false if it was not being emptied
+     * @return false if it was not evacuated
      */
     public boolean end(final DataCentreId dataCentre) {
         listed.remove(Objects.requireNonNull(dataCentre, "dataCentre is null"));
@@ -70,10 +68,10 @@
     }
 
     /**
-     * Takes a complete list.
+     * Applies a complete list from the store.
      *
-     * @param dataCentres all that are to be emptied
-     * @return those that are taken back by it
+     * @param dataCentres all evacuated data centres
+     * @return those whose evacuation ended by it
      */
     public Set<DataCentreId> replaceAll(final Set<DataCentreId> dataCentres) {
         listed.clear();
@@ -82,38 +80,39 @@
         return unsettled ? Set.of() : endUnlisted();
     }
 
-    /** Notes that the store has come back from an older copy. */
+    /** Records that the store was restored from an older copy. */
     public void onStoreRestored() {
         unsettled = true;
     }
 
     /**
-     * Takes the store at its word again, after the time that operators need to write again.
+     * Ends the evacuations that the store does not list. Called when operators have had time to
+     * write again what a restored store lacks.
      *
-     * @return those that are taken back by it
+     * @return the data centres whose evacuation ended
      */
     public Set<DataCentreId> settle() {
         unsettled = false;
         return endUnlisted();
     }
 
-    /** Notes that the store has told all there is. */
+    /** Records that the state of the store was read completely. */
     public void onStoreRead() {
-        heardMillis = clock.millis();
+        lastReadMillis = clock.millis();
     }
 
     /**
-     * Tells whether workers of a data centre get nothing new.
+     * Returns whether a data centre is evacuated.
      *
      * @param dataCentre the data centre
-     * @return true while it is being emptied
+     * @return true if its backend servers get no new requests
      */
     public boolean includes(final DataCentreId dataCentre) {
         return inForce.contains(dataCentre);
     }
 
     /**
-     * Returns how many data centres are being emptied.
+     * Returns the number of evacuated data centres.
      *
      * @return the count
      */
@@ -122,12 +121,12 @@
     }
 
     /**
-     * Returns how old this knowledge is.
+     * Returns the time since the evacuations were last read from the store.
      *
-     * @return milliseconds since the store was last heard of it
+     * @return milliseconds
      */
     public long ageMillis() {
-        return clock.millis() - heardMillis;
+        return clock.millis() - lastReadMillis;
     }
 
     private Set<DataCentreId> endUnlisted() {
--- a/fennelstage-core/src/main/java/org/fennelstage/fleet/Incarnation.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/fleet/Incarnation.java
@@ -4,39 +4,39 @@
 import org.fennelstage.id.BackendServerId;
 
 /**
- * One life of a worker, from its start to its end.
+ * One process lifetime of a backend server, from its start to its end.
  *
- * <p>A worker may crash and start again under the id that it had. It then holds no prompt, runs no
- * request and has none of the faults of its former life, so all that is learnt of a worker belongs
- * to the incarnation and not to the id.
+ * <p>A backend server may crash and start again under the same id, with an empty prompt cache and
+ * no running requests. State observed of a server therefore belongs to the incarnation and not to
+ * the id.
  *
- * <p>Law: {@code a.supersedes(b)} and {@code b.supersedes(a)} never hold together. Immutable and
- * thread-safe.
+ * <p>Invariant: {@code a.supersedes(b)} and {@code b.supersedes(a)} never hold together. Immutable
+ * and thread-safe.
  *
- * @param server the worker's id
- * @param startMillis its start, Unix milliseconds by its own clock; zero if it does not say
+ * @param server the id of the backend server
+ * @param startMillis its start time in Unix milliseconds by its own clock; zero if not reported
  */
 public record Incarnation(BackendServerId server, long startMillis) {
 
     public Incarnation {
         Objects.requireNonNull(server, "server is null");
         if (startMillis < 0) {
-            throw new IllegalArgumentException("born before 1970: " + startMillis);
+            throw new IllegalArgumentException("negative start time: " + startMillis);
         }
     }
 
     /**
-     * Returns the incarnation of a worker that does not say when it was born.
+     * Returns the incarnation of a backend server that does not report its start time.
      *
      * @param server its id
-     * @return the incarnation, superseded by every one that says it
+     * @return the incarnation, superseded by each one with a start time
      */
     public static Incarnation of(final BackendServerId server) {
         return new Incarnation(server, 0);
     }
 
     /**
-     * Tells whether this is a later life of the same worker.
+     * Returns whether this is a later incarnation of the same backend server.
      *
      * @param other another incarnation
      * @return true if the other one has ended
--- a/fennelstage-core/src/main/java/org/fennelstage/fleet/Load.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/fleet/Load.java
@@ -1,21 +1,21 @@
 package org.fennelstage.fleet;
 
 /**
- * Requests at one worker. Immutable and thread-safe.
+ * Requests running at one backend server. Immutable and thread-safe.
  *
- * @param running how many it has
- * @param unreadMillis how long it will take to read the prompts of those that have not begun to
- *     answer; milliseconds
+ * @param running the number of running requests
+ * @param unreadMillis expected time to read the prompts of those without a response yet;
+ *     milliseconds
  */
 public record Load(int running, long unreadMillis) {
 
-    /** No request. */
+    /** No requests. */
     public static final Load NONE = new Load(0, 0);
 
     /**
-     * Returns the load of both.
+     * Returns the sum of two loads.
      *
-     * @param other another load at the same worker
+     * @param other another load at the same backend server
      * @return the sum
      */
     public Load plus(final Load other) {
@@ -23,10 +23,10 @@
     }
 
     /**
-     * Returns this load without a part of it.
+     * Returns the difference of two loads.
      *
-     * @param other the part
-     * @return what is left
+     * @param other the load to subtract
+     * @return the difference
      */
     public Load minus(final Load other) {
         return new Load(running - other.running, unreadMillis - other.unreadMillis);
--- a/fennelstage-core/src/main/java/org/fennelstage/fleet/LoadBoard.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/fleet/LoadBoard.java
@@ -11,26 +11,25 @@
 import org.fennelstage.time.MonotonicClock;
 
 /**
- * What the other VMs have at the workers, as they last said.
+ * The load of other VMs at the backend servers, as last reported by them.
  *
- * <p>A VM that knows only its own requests places a caption behind three long prompts of others; at
- * six VMs it sees a sixth of the load. Each VM therefore tells the others several times a second
- * what it has where.
+ * <p>A VM sees only its own requests, which are a fraction of the load of each backend server. The
+ * VMs therefore report their load to each other several times a second.
  *
- * <p>Law: the sum for a worker is that of the reports that are younger than {@link
- * #BELIEVED_MILLIS}, the last one of each VM. Not thread-safe.
+ * <p>Invariant: the sum for a backend server is that of the latest report of each VM that is not
+ * older than {@link #REPORT_TTL_MILLIS}. Not thread-safe.
  */
 public final class LoadBoard {
 
     /**
-     * How long a report counts; milliseconds. VMs report at least each half second, and datagrams
-     * get lost; a VM that died has nothing at any worker a second later.
+     * How long a report counts; milliseconds. VMs report at least every 500 ms, so one lost
+     * datagram does not expire a report.
      */
-    private static final long BELIEVED_MILLIS = 1_200;
+    private static final long REPORT_TTL_MILLIS = 1_200;
 
     private record Report(long atMillis, Map<BackendServerId, Load> loads) {}
 
-    /** Who reports: a VM, with the number of the part where its report has several. */
+    /** The sender of a report: a VM and, for a report in several parts, the number of the part. */
     private record Source(VmId vm, int part) {}
 
     private final MonotonicClock clock;
@@ -45,10 +44,10 @@
     }
 
     /**
-     * Returns a board on which nothing stands.
+     * Returns a board without reports.
      *
      * @param clock the clock
-     * @param scale gives the VMs there are for each that reports to this one; 1 if all do
+     * @param scale returns the number of VMs per VM that reports to this one; 1 if all report
      * @return the board
      */
     public static LoadBoard of(final MonotonicClock clock, final DoubleSupplier scale) {
@@ -58,7 +57,7 @@
     }
 
     /**
-     * Returns a board for a VM that hears of no other.
+     * Returns a board for a VM without peers.
      *
      * @return the board
      */
@@ -67,63 +66,63 @@
     }
 
     /**
-     * Takes the report of a VM in place of its last one.
+     * Replaces the report of a VM.
      *
      * @param vm the VM
-     * @param loads what it has at each worker that has any
+     * @param loads its load at each backend server where it has any
      */
     public void onReport(final VmId vm, final Map<BackendServerId, Load> loads) {
         onReport(vm, 0, loads);
     }
 
     /**
-     * Takes a part of the report of a VM in place of the same part of its last one.
+     * Replaces a part of the report of a VM.
      *
      * @param vm the VM
      * @param part the number of the part
-     * @param loads what it tells of the workers in this part
+     * @param loads its load at the backend servers of this part
      */
     public void onReport(final VmId vm, final int part, final Map<BackendServerId, Load> loads) {
         final Source source = new Source(vm, part);
-        forget(source);
+        remove(source);
         reports.put(source, new Report(clock.millis(), Map.copyOf(loads)));
         oldestFirst.addLast(source);
         loads.forEach((server, load) -> sums.merge(server, load, Load::plus));
     }
 
     /**
-     * Returns what the other VMs have at a worker.
+     * Returns the load of the other VMs at a backend server.
      *
-     * @param server the worker
-     * @return their load, scaled up for those that do not report here
+     * @param server the backend server
+     * @return their load, scaled up for VMs that do not report to this one
      */
     public Load others(final BackendServerId server) {
-        forgetOld();
+        removeExpired();
         final Load sum = sums.get(server);
         return sum == null ? Load.NONE : sum.times(scale.getAsDouble());
     }
 
     /**
-     * Returns what stands on the board, as it was told.
+     * Returns the sums of the reported loads without scaling.
      *
-     * @return the sum for each worker that has any load
+     * @return the sum for each backend server that has any load
      */
     public Map<BackendServerId, Load> sums() {
-        forgetOld();
+        removeExpired();
         return Map.copyOf(sums);
     }
 
-    private void forgetOld() {
+    private void removeExpired() {
         while (!oldestFirst.isEmpty()) {
             final Source oldest = oldestFirst.peekFirst();
-            if (clock.millis() - reports.get(oldest).atMillis() <= BELIEVED_MILLIS) {
+            if (clock.millis() - reports.get(oldest).atMillis() <= REPORT_TTL_MILLIS) {
                 return;
             }
-            forget(oldest);
+            remove(oldest);
         }
     }
 
-    private void forget(final Source source) {
+    private void remove(final Source source) {
         final Report old = reports.remove(source);
         if (old == null) {
             return;
--- a/fennelstage-core/src/main/java/org/fennelstage/fleet/Reachability.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/fleet/Reachability.java
@@ -4,36 +4,39 @@
 import org.fennelstage.time.MonotonicClock;
 
 /**
- * Whether the workers of one data centre can be reached at all.
+ * Whether the backend servers of one data centre can be reached at all.
  *
- * <p>When the data centre is cut off, each of its workers would be found unreachable by a request
- * of its own that waits for a connection in vain, again after every pause. Several failures in a
- * row without one byte from any of its workers speak against all of them at once.
+ * <p>When a data centre is cut off, finding each of its backend servers unreachable would cost one
+ * failed connection attempt per server. Several consecutive failures without a byte from any of its
+ * servers mark the whole data centre as unreachable instead.
  *
  * <p>Not thread-safe.
  */
 public final class Reachability {
 
-    /** Failures in a row that speak against the whole data centre; two may be two dead workers. */
+    /**
+     * Consecutive failures that mark the data centre; two may come from two crashed backend
+     * servers.
+     */
     private static final int FAILURES = 3;
 
-    /** How long its workers are left out before one is tried again; milliseconds. */
+    /** How long its backend servers are excluded before one is probed; milliseconds. */
     private static final long PAUSE_MILLIS = 1_000;
 
-    /** Milliseconds; a VM with a few requests a second hears some worker in each second. */
-    private static final long HEARD_MILLIS = 1_000;
+    /** How long a received byte shows that the data centre is reachable; milliseconds. */
+    private static final long RECENT_MILLIS = 1_000;
 
     private final MonotonicClock clock;
     private int failures;
     private long pausedUntilMillis;
-    private long lastSignMillis = Long.MIN_VALUE / 2;
+    private long lastByteMillis = Long.MIN_VALUE / 2;
 
     private Reachability(final MonotonicClock clock) {
         this.clock = clock;
     }
 
     /**
-     * Returns the state of a data centre of which nothing is known.
+     * Returns the initial state of a data centre, without failures.
      *
      * @param clock the clock
      * @return the state
@@ -43,20 +46,20 @@
     }
 
     /**
-     * Tells whether its workers are to be left out.
+     * Returns whether the backend servers of the data centre are to be excluded.
      *
-     * @return true while it seems cut off
+     * @return true while it seems unreachable and no probe is due
      */
-    public boolean cut() {
-        return doubtful() && clock.millis() < pausedUntilMillis;
+    public boolean isUnreachable() {
+        return isSuspect() && clock.millis() < pausedUntilMillis;
     }
 
     /**
-     * Tells whether it seemed cut off and no byte has come since.
+     * Returns whether the data centre seemed unreachable and no byte was received since.
      *
-     * @return true until one of its workers answers
+     * @return true until one of its backend servers responds
      */
-    public boolean doubtful() {
+    public boolean isSuspect() {
         return failures >= FAILURES;
     }
 
@@ -70,16 +73,16 @@
     }
 
     /**
-     * Tells whether a byte came from one of its workers a moment ago, so that the way there works.
+     * Returns whether a byte was received from one of its backend servers recently.
      *
-     * @return true if one came within the last {@link #HEARD_MILLIS}
+     * @return true if one was received within the last {@link #RECENT_MILLIS}
      */
-    boolean heardLately() {
-        return clock.millis() - lastSignMillis <= HEARD_MILLIS;
+    boolean receivedBytesRecently() {
+        return clock.millis() - lastByteMillis <= RECENT_MILLIS;
     }
 
     void onBytesReceived() {
         failures = 0;
-        lastSignMillis = clock.millis();
+        lastByteMillis = clock.millis();
     }
 }
--- a/fennelstage-core/src/main/java/org/fennelstage/fleet/ServerAddress.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/fleet/ServerAddress.java
@@ -3,9 +3,9 @@
 import java.util.Objects;
 
 /**
- * Where a worker listens. Immutable and thread-safe.
+ * The address where a backend server listens. Immutable and thread-safe.
  *
- * @param host the IP number
+ * @param host the IP address
  * @param port the TCP port
  */
 public record ServerAddress(String host, int port) {
@@ -15,7 +15,8 @@
     public ServerAddress {
         Objects.requireNonNull(host, "host is null");
         if (port < 1 || port > MAX_PORT) {
-            throw new IllegalArgumentException("no TCP port: " + port);
+            throw new IllegalArgumentException(
+                    "TCP port out of range 1.." + MAX_PORT + ": " + port);
         }
     }
 
@@ -24,12 +25,12 @@
      *
      * @param text the text
      * @return the address
-     * @throws IllegalArgumentException if the text has another form
+     * @throws IllegalArgumentException if the text has another form or the port is out of range
      */
     public static ServerAddress parse(final String text) {
         final int colon = text.lastIndexOf(':');
         if (colon <= 0) {
-            throw new IllegalArgumentException("not an address: " + text);
+            throw new IllegalArgumentException("address is not HOST:PORT: " + text);
         }
         return new ServerAddress(
                 text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
--- a/fennelstage-core/src/main/java/org/fennelstage/fleet/ServerEntry.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/fleet/ServerEntry.java
@@ -8,18 +8,18 @@
 import org.fennelstage.id.ServiceName;
 
 /**
- * What the store says of one worker. Immutable and thread-safe.
+ * The store's entry of one backend server. Immutable and thread-safe.
  *
- * @param incarnation the worker and which of its lives this is
- * @param service what it serves
+ * @param incarnation the backend server and its process lifetime
+ * @param service the service that it serves
  * @param address where it listens
- * @param dataCentre where it stands
- * @param version the version of its software, which a roll-out changes
- * @param capacity how many requests it works on at once
- * @param draining whether it is about to stop and takes no new work
- * @param warmUpLeft how long the worker stays cold, counted from when it wrote this; zero if it is
- *     warm
- * @param position where in the store's history this was written
+ * @param dataCentre the data centre where it runs
+ * @param version the version of its software, changed by a rollout
+ * @param capacity how many requests it runs at once
+ * @param draining whether it accepts no new requests because it is about to stop
+ * @param warmUpLeft how long it is still warming up, counted from the write of this entry; zero if
+ *     it is warmed up
+ * @param position the position in the store's history where this was written
  */
 public record ServerEntry(
         Incarnation incarnation,
@@ -43,16 +43,16 @@
     }
 
     /**
-     * Creates the entry of a warm worker.
+     * Creates the entry of a backend server that is warmed up.
      *
-     * @param incarnation the worker and which of its lives this is
-     * @param service what it serves
+     * @param incarnation the backend server and its process lifetime
+     * @param service the service that it serves
      * @param address where it listens
-     * @param dataCentre where it stands
+     * @param dataCentre the data centre where it runs
      * @param version the version of its software
-     * @param capacity how many requests it works on at once
-     * @param draining whether it is about to stop
-     * @param position where in the store's history this was written
+     * @param capacity how many requests it runs at once
+     * @param draining whether it accepts no new requests
+     * @param position the position in the store's history where this was written
      */
     public ServerEntry(
             final Incarnation incarnation,
@@ -76,7 +76,7 @@
     }
 
     /**
-     * Returns the worker's id, which outlives its incarnations.
+     * Returns the id of the backend server, which stays the same across incarnations.
      *
      * @return the id
      */
@@ -85,11 +85,11 @@
     }
 
     /**
-     * Returns the entry with the word that the worker leaves.
+     * Returns a copy of this entry that is marked as draining.
      *
      * @return the entry
      */
-    ServerEntry asLeaving() {
+    ServerEntry asDraining() {
         return new ServerEntry(
                 incarnation,
                 service,
--- a/fennelstage-core/src/main/java/org/fennelstage/fleet/ServerHealth.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/fleet/ServerHealth.java
@@ -4,75 +4,75 @@
 import org.fennelstage.time.MonotonicClock;
 
 /**
- * Evidence about one worker from this VM's own requests.
+ * Passive health tracking of one backend server, based on this VM's own requests.
  *
- * <p>Health checks do not show a worker that fails a part of its requests, and cost a request each;
- * the answers to real requests show it for nothing. Two kinds of evidence are kept apart: a worker
- * that cannot be reached is left out for a pause, and a worker whose answers fail more often than
- * its route's usual share is used after all others until the evidence has faded.
+ * <p>Unlike health checks, it detects a backend server that fails some of its requests, and costs
+ * no extra requests. Two conditions are kept apart: an unreachable server is excluded for a pause,
+ * and a server that fails more often than the route's baseline is used only after all others until
+ * its failure rate has decayed.
  *
  * <p>Not thread-safe.
  */
 public final class ServerHealth {
 
-    /** How healthy a worker is; earlier ones are preferred. */
+    /** The health of a backend server; earlier constants are preferred. */
     public enum Tier {
-        /** Nothing speaks against it. */
+        /** Nothing indicates a failure. */
         SOUND,
-        /** It fails more often than others; used when no sound worker is left. */
+        /** Fails more often than others; used when no healthy backend server is left. */
         SUSPECT,
-        /** It could not be reached; used only to try, or when no other worker is left. */
+        /** Could not be reached; used only for probes, or when no other one is left. */
         UNREACHABLE
     }
 
     /**
-     * Weight of one answer in the excess failure share: two failures in a row reach the suspect
-     * threshold, one does not.
+     * Weight of one response in the excess failure rate: two consecutive failures reach {@link
+     * #SUSPECT_RATE}, one does not.
      */
     private static final double WEIGHT = 0.2;
 
-    /** Excess share of failures from which a worker is suspect. */
-    private static final double SUSPECT_SHARE = 0.3;
+    /** Excess failure rate from which a backend server is suspect. */
+    private static final double SUSPECT_RATE = 0.3;
 
-    /** Time in which evidence halves, so that a mended worker gets traffic again; milliseconds. */
+    /** Half-life of the excess failure rate, so that a recovered server gets requests again. */
     private static final double HALF_LIFE_MILLIS = 3_000;
 
-    /** First pause after a worker could not be reached; doubles up to the longest; milliseconds. */
+    /** First pause after a failure to connect; doubles up to {@link #MAX_PAUSE_MILLIS}. */
     private static final long FIRST_PAUSE_MILLIS = 500;
 
-    private static final long LONGEST_PAUSE_MILLIS = 2_000;
+    private static final long MAX_PAUSE_MILLIS = 2_000;
 
     /**
-     * How long the word of another VM counts; milliseconds. A worker that crashed is back, or gone
-     * from the store, after some seconds; when the word has faded one VM finds out for all again.
+     * How long a report of another VM counts at least. By its end a crashed backend server has
+     * usually restarted or lost its entry; otherwise one VM finds the failure again for all.
      */
-    private static final long HEARSAY_MILLIS = 2_000;
+    private static final long PEER_REPORT_MILLIS = 2_000;
 
-    /** A byte that this VM got from the worker this lately outweighs the word of others. */
-    private static final long OWN_SIGN_MILLIS = 1_000;
+    /** A byte received from the backend server within this time overrides reports of other VMs. */
+    private static final long OWN_BYTE_MILLIS = 1_000;
 
     private final MonotonicClock clock;
     private final Reachability dataCentre;
-    private double excess;
+    private double excessRate;
     private long excessAtMillis;
-    private int unreachable;
+    private int consecutiveUnreachable;
     private long pausedUntilMillis;
-    private long lastSignMillis;
-    private long hearsayUntilMillis = Long.MIN_VALUE;
-    private long outOfReachMillis = Long.MIN_VALUE / 2;
+    private long lastByteMillis;
+    private long peerReportUntilMillis = Long.MIN_VALUE;
+    private long lastUnreachableMillis = Long.MIN_VALUE / 2;
 
     private ServerHealth(final MonotonicClock clock, final Reachability dataCentre) {
         this.clock = clock;
         this.dataCentre = dataCentre;
-        this.lastSignMillis = clock.millis();
-        this.excessAtMillis = lastSignMillis;
+        this.lastByteMillis = clock.millis();
+        this.excessAtMillis = lastByteMillis;
     }
 
     /**
-     * Returns the health of a worker of which nothing is known.
+     * Returns the initial health of a backend server, without failures.
      *
      * @param clock the clock
-     * @param dataCentre the state of its data centre, shared by all workers there
+     * @param dataCentre the state of its data centre, shared by all backend servers there
      * @return the health
      */
     public static ServerHealth of(final MonotonicClock clock, final Reachability dataCentre) {
@@ -82,135 +82,136 @@
     }
 
     /**
-     * Returns how far the worker is to be preferred.
+     * Returns the current tier.
      *
      * @return the tier
      */
     public Tier tier() {
-        final boolean paused = unreachable > 0 && clock.millis() < pausedUntilMillis;
-        if (paused || dataCentre.cut()) {
+        final boolean paused = consecutiveUnreachable > 0 && clock.millis() < pausedUntilMillis;
+        if (paused || dataCentre.isUnreachable()) {
             return Tier.UNREACHABLE;
         }
-        final boolean hearsay = clock.millis() < hearsayUntilMillis;
-        final boolean suspect = hearsay || doubtful() || excessNow() >= SUSPECT_SHARE;
+        final boolean reportedByPeer = clock.millis() < peerReportUntilMillis;
+        final boolean suspect =
+                reportedByPeer || unconfirmed() || decayedExcessRate() >= SUSPECT_RATE;
         return suspect ? Tier.SUSPECT : Tier.SOUND;
     }
 
     /**
-     * Tells whether the worker could not be reached and is to be tried again. Requests that lose
-     * little by a wait in vain do that; all others use workers that answer.
+     * Returns whether the backend server was unreachable and may be probed now. Only requests that
+     * can afford a failed connection attempt are used as probes.
      *
-     * @return true after each pause, until it answers
+     * @return true after each pause, until it responds
      */
     public boolean probeDue() {
-        return doubtful() && tier() != Tier.UNREACHABLE;
+        return unconfirmed() && tier() != Tier.UNREACHABLE;
     }
 
-    /** Notes that a request tries the worker again: no other does so within the next pause. */
+    /** Records that a request is used as a probe; no other one is during the next pause. */
     public void onProbe() {
         pausedUntilMillis = clock.millis() + FIRST_PAUSE_MILLIS;
-        if (dataCentre.doubtful()) {
+        if (dataCentre.isSuspect()) {
             dataCentre.onProbe();
         }
     }
 
     /**
-     * Notes that the worker could not be reached.
+     * Records that the backend server could not be reached.
      *
-     * @return whether that speaks against this worker alone, so that other VMs should know: bytes
-     *     come from others in its data centre, so this VM's own way there works
+     * @return whether to report this to other VMs: true if this VM recently received bytes from the
+     *     same data centre, so that the failure is not on its own network path
      */
     public boolean onUnreachable() {
-        final boolean ofThisWorkerAlone = dataCentre.heardLately();
-        final long pause = FIRST_PAUSE_MILLIS << Math.min(unreachable, 2);
-        unreachable++;
-        outOfReachMillis = clock.millis();
+        final boolean serverAlone = dataCentre.receivedBytesRecently();
+        final long pause = FIRST_PAUSE_MILLIS << Math.min(consecutiveUnreachable, 2);
+        consecutiveUnreachable++;
+        lastUnreachableMillis = clock.millis();
         dataCentre.onUnreachable();
-        pausedUntilMillis = clock.millis() + Math.min(pause, LONGEST_PAUSE_MILLIS);
-        return ofThisWorkerAlone;
+        pausedUntilMillis = clock.millis() + Math.min(pause, MAX_PAUSE_MILLIS);
+        return serverAlone;
     }
 
     /**
-     * Takes the word of another VM that it could not reach the worker.
+     * Handles a report of another VM that it could not reach the backend server.
      *
-     * <p>In a large fleet a VM meets each worker once in many seconds. Left to itself, every VM
-     * would find out by a request of its own that a worker is dark, and that request waits for more
-     * than a second. The word only puts the worker behind others: it may be the other VM's way that
-     * is broken.
+     * <p>In a large fleet a VM sends to each backend server rarely; without reports, every VM would
+     * lose a request to an unreachable one. A report only makes the server suspect, since the
+     * failure may be on the other VM's network path.
      *
-     * @param draw spreads the end of the word over VMs, in [0, 1): those that believe it for longer
-     *     hear of the next try of the others
-     * @return false if this VM heard the worker itself a moment ago
+     * @param draw random number in [0, 1) that spreads the end of the report's validity over the
+     *     VMs, so that the first VM to try again can report for the others
+     * @return false if the report is ignored because this VM received a byte from the backend
+     *     server recently
      */
     public boolean onPeerReport(final double draw) {
-        if (millisSinceLastByte() < OWN_SIGN_MILLIS) {
+        if (millisSinceLastByte() < OWN_BYTE_MILLIS) {
             return false;
         }
-        hearsayUntilMillis = clock.millis() + (long) (HEARSAY_MILLIS * (1 + draw));
+        peerReportUntilMillis = clock.millis() + (long) (PEER_REPORT_MILLIS * (1 + draw));
         return true;
     }
 
-    /** Notes that a byte came from the worker. */
+    /** Records that bytes were received from the backend server. */
     public void onBytesReceived() {
-        if (unreachable > 0) {
-            outOfReachMillis = clock.millis();
+        if (consecutiveUnreachable > 0) {
+            lastUnreachableMillis = clock.millis();
         }
-        unreachable = 0;
-        hearsayUntilMillis = Long.MIN_VALUE;
+        consecutiveUnreachable = 0;
+        peerReportUntilMillis = Long.MIN_VALUE;
         dataCentre.onBytesReceived();
-        lastSignMillis = clock.millis();
+        lastByteMillis = clock.millis();
     }
 
     /**
-     * Notes how a request ended.
+     * Records the end of a request.
      *
      * @param failed whether it failed
-     * @param usualShare the share of failures that the route has anyway, in [0, 1]
+     * @param baselineRate the route's baseline failure rate, in [0, 1]
      */
-    public void onEnd(final boolean failed, final double usualShare) {
-        final double observed = (failed ? 1 : 0) - usualShare;
-        excess = Math.max(0, excessNow() + WEIGHT * (observed - excess));
+    public void onEnd(final boolean failed, final double baselineRate) {
+        final double observed = (failed ? 1 : 0) - baselineRate;
+        excessRate = Math.max(0, decayedExcessRate() + WEIGHT * (observed - excessRate));
         excessAtMillis = clock.millis();
     }
 
     /**
-     * Tells whether this VM's way to the worker's data centre works, so that a worker there that
-     * does not answer is itself at fault.
+     * Returns whether the data centre of the backend server is reachable from this VM, so that a
+     * missing response is the fault of the server itself.
      *
-     * @return true if another worker of the data centre sent a byte a moment ago
+     * @return true if a byte was received from the data centre recently
      */
     public boolean isDataCentreReachable() {
-        return dataCentre.heardLately();
+        return dataCentre.receivedBytesRecently();
     }
 
     /**
-     * Returns the time since the worker last sent a byte.
+     * Returns the time since the last byte from the backend server.
      *
      * @return milliseconds
      */
     public long millisSinceLastByte() {
-        return clock.millis() - lastSignMillis;
+        return clock.millis() - lastByteMillis;
     }
 
     /**
-     * Returns the time since the worker was out of reach. It may have started again meanwhile.
+     * Returns the time since the backend server was unreachable. It may have restarted since then.
      *
      * @return milliseconds since the last failure, or since the first byte after it
      */
-    public long backMillis() {
-        return clock.millis() - outOfReachMillis;
+    public long millisSinceUnreachable() {
+        return clock.millis() - lastUnreachableMillis;
     }
 
-    /** It, or its data centre, could not be reached, and no byte has come since. */
-    private boolean doubtful() {
-        return unreachable > 0 || dataCentre.doubtful();
+    /** The server or its data centre was unreachable, and no byte was received since. */
+    private boolean unconfirmed() {
+        return consecutiveUnreachable > 0 || dataCentre.isSuspect();
     }
 
-    private double excessNow() {
-        if (excess == 0) {
+    private double decayedExcessRate() {
+        if (excessRate == 0) {
             return 0;
         }
         final double age = clock.millis() - excessAtMillis;
-        return excess * Math.pow(0.5, age / HALF_LIFE_MILLIS);
+        return excessRate * Math.pow(0.5, age / HALF_LIFE_MILLIS);
     }
 }
--- a/fennelstage-core/src/main/java/org/fennelstage/fleet/ServerTable.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/fleet/ServerTable.java
@@ -18,56 +18,53 @@
 import org.fennelstage.time.MonotonicClock;
 
 /**
- * The workers that may get requests.
+ * The backend servers that may get requests.
  *
- * <p>While the store is away, workers cannot renew their entries, and the store drops entries of
- * workers that are well. Taken at its word on its return, the store would empty the table: all
- * requests would be rejected until the workers have registered again. So an entry that vanishes
- * around an outage stays until {@link #LAPSE_GRACE_MILLIS} after the store's return, and is dropped
- * then unless it came back. At any other time a vanished entry is dropped at once; also after a
- * call that failed on the way while the store itself was well, since its workers could renew their
- * entries all the time. Taken for an outage, a lost way lets a worker that has left get requests
- * for as long as the grace.
+ * <p>While the store is unavailable, backend servers cannot renew their entries, and the store
+ * expires entries of running servers. To avoid rejecting all requests after an outage, an entry
+ * that is missing then is kept until {@link #EXPIRY_GRACE_MILLIS} after the store is available
+ * again, and removed only if it was not written again. At any other time a missing entry is removed
+ * at once, also after a failed call that was no outage, since backend servers could renew their
+ * entries during that time.
  *
- * <p>A store that comes back from an older copy says less and other than it did: entries written
- * since are missing until their workers write again, which is as if they had lapsed, and workers
- * that have left are back; see {@link Departures}.
+ * <p>A store that was restored from an older copy lacks later entries until their backend servers
+ * write again, which is handled like expiry. It may also list servers that have drained or stopped;
+ * see {@link DrainOverrides}.
  *
- * <p>Invariant: a worker that is leaving or dropped is in no result of {@link #usable}. Not
- * thread-safe.
+ * <p>Invariant: a backend server that is draining or removed is in no result of {@link #usable}.
+ * Not thread-safe.
  */
 public final class ServerTable {
 
     /**
-     * How long after the store's return a vanished entry is kept; milliseconds. Workers that live
-     * are back about two seconds after the return; the rest is for the watch's delay.
+     * How long a missing entry is kept after an outage; milliseconds. Running backend servers
+     * register again within about two seconds; the rest covers the delay of the watch.
      */
-    static final long LAPSE_GRACE_MILLIS = 2_200;
+    static final long EXPIRY_GRACE_MILLIS = 2_200;
 
     /**
-     * How long the store must have been away for entries to have lapsed; milliseconds. Workers
-     * renew about once a second and lapse after three failures; a shorter interruption drops none,
-     * and what vanishes after it is gone.
+     * Shortest outage in which entries can expire; milliseconds. Backend servers renew about once a
+     * second and expire after three failures, so a shorter interruption expires none.
      */
-    static final long LAPSE_NEEDS_MILLIS = 1_000;
+    static final long MIN_OUTAGE_MILLIS = 1_000;
 
     private final MonotonicClock clock;
     private final Map<BackendServerId, TrackedServer> servers = new LinkedHashMap<>();
-    private final Set<BackendServerId> vanished = new HashSet<>();
+    private final Set<BackendServerId> missing = new HashSet<>();
     private final Map<ServiceName, List<TrackedServer>> usable = new HashMap<>();
     private final Map<DataCentreId, Reachability> dataCentres = new HashMap<>();
-    private final LapsedServers lapsed = LapsedServers.empty();
-    private final Births births = Births.empty();
-    private final Departures departures;
+    private final ExpiredServers expired = ExpiredServers.empty();
+    private final LatestIncarnations latestIncarnations = LatestIncarnations.empty();
+    private final DrainOverrides drainOverrides;
     private Consumer<TrackedServer> restartListener = former -> {};
-    private boolean doubted;
-    private boolean storeAway;
-    private long awaySinceMillis;
+    private boolean callFailed;
+    private boolean storeUnavailable;
+    private long firstFailureMillis;
     private long graceUntilMillis = Long.MIN_VALUE;
 
     private ServerTable(final MonotonicClock clock) {
         this.clock = clock;
-        this.departures = Departures.of(clock);
+        this.drainOverrides = DrainOverrides.of(clock);
     }
 
     /**
@@ -81,35 +78,33 @@
     }
 
     /**
-     * Sets what runs when a worker has started again under its id, with the state of its former
-     * life, which the table has dropped.
+     * Sets the listener for restarts of backend servers under the same id.
      *
-     * @param listener takes the former state
+     * @param listener called with the state of the former incarnation, which the table has removed
      */
     public void onRestart(final Consumer<TrackedServer> listener) {
         restartListener = Objects.requireNonNull(listener, "listener is null");
     }
 
     /**
-     * Adds a worker or replaces its entry.
+     * Adds a backend server or replaces its entry.
      *
-     * <p>An entry of an incarnation that has ended may come late: a write that was under way when
-     * its worker crashed, a stale read. Taken at its word it would bring back an address where
-     * nobody listens, or mark the restarted worker as leaving.
+     * <p>An entry of a former incarnation may arrive late, from a delayed write or a stale read. It
+     * is ignored, since it may have an outdated address or mark a restarted server as draining.
      *
      * @param entry the entry
-     * @return false if it speaks of an incarnation that has ended, and was passed over
+     * @return false if it belongs to a former incarnation and was ignored
      */
     public boolean put(final ServerEntry entry) {
-        if (!births.offer(entry.incarnation())) {
+        if (!latestIncarnations.accept(entry.incarnation())) {
             return false;
         }
-        believe(departures.judge(entry));
+        addOrUpdate(drainOverrides.apply(entry));
         return true;
     }
 
-    private void believe(final ServerEntry entry) {
-        vanished.remove(entry.id());
+    private void addOrUpdate(final ServerEntry entry) {
+        missing.remove(entry.id());
         usable.clear();
         final TrackedServer known = servers.get(entry.id());
         if (known != null && known.entry().incarnation().equals(entry.incarnation())) {
@@ -118,7 +113,7 @@
         }
         final Reachability reachability =
                 dataCentres.computeIfAbsent(entry.dataCentre(), dc -> Reachability.of(clock));
-        final Optional<TrackedServer> before = lapsed.take(entry.incarnation());
+        final Optional<TrackedServer> before = expired.take(entry.incarnation());
         before.ifPresent(server -> server.update(entry));
         servers.put(
                 entry.id(), before.orElseGet(() -> TrackedServer.of(entry, clock, reachability)));
@@ -129,41 +124,42 @@
     }
 
     /**
-     * Notes that a worker said in an answer that it leaves, to this VM or to another.
+     * Records that a backend server reported in a response, to this VM or to another, that it is
+     * draining.
      *
-     * @param incarnation the worker and which of its lives
-     * @return false if that was known already
+     * @param incarnation the backend server and its process lifetime
+     * @return false if this was already known
      */
     public boolean onDraining(final Incarnation incarnation) {
-        if (!departures.onOwnWord(incarnation)) {
+        if (!drainOverrides.onDrainingReported(incarnation)) {
             return false;
         }
         find(incarnation.server())
                 .map(TrackedServer::entry)
                 .filter(entry -> entry.incarnation().equals(incarnation))
-                .ifPresent(entry -> believe(departures.judge(entry)));
+                .ifPresent(entry -> addOrUpdate(drainOverrides.apply(entry)));
         return true;
     }
 
     /**
-     * Drops a worker whose entry cannot be understood any more, at once: whoever wrote that, the
-     * entry names no worker to use, also while entries that merely vanished are kept.
+     * Removes a backend server whose entry is no longer valid. It is removed at once, also while
+     * missing entries are kept.
      *
-     * @param id the worker
+     * @param id the backend server
      */
     public void removeInvalid(final BackendServerId id) {
         drop(id);
     }
 
     /**
-     * Notes that a worker's entry is gone.
+     * Records that the entry of a backend server was removed from the store.
      *
-     * @param id the worker
+     * @param id the backend server
      */
     public void remove(final BackendServerId id) {
-        if (storeAway || clock.millis() < graceUntilMillis) {
+        if (storeUnavailable || clock.millis() < graceUntilMillis) {
             if (servers.containsKey(id)) {
-                vanished.add(id);
+                missing.add(id);
             }
             return;
         }
@@ -171,9 +167,9 @@
     }
 
     /**
-     * Takes a complete list of the entries.
+     * Replaces the table by a complete list from the store.
      *
-     * @param entries all of them
+     * @param entries all entries
      */
     public void replaceAll(final Collection<ServerEntry> entries) {
         final Set<BackendServerId> present = new HashSet<>();
@@ -188,99 +184,104 @@
         }
     }
 
-    /** Notes that a call failed: the store may be away, or only the way to it. */
+    /**
+     * Records that a call on the store failed; the store or only the connection to it may be at
+     * fault.
+     */
     public void onStoreCallFailed() {
-        if (!doubted && !storeAway) {
-            awaySinceMillis = clock.millis();
+        if (!callFailed && !storeUnavailable) {
+            firstFailureMillis = clock.millis();
         }
-        doubted = true;
+        callFailed = true;
     }
 
-    /** Notes that the store cannot be reached; since the first call that failed, if one did. */
+    /**
+     * Records that the store is unavailable, counted from the first failed call if there was one.
+     */
     public void onStoreUnavailable() {
         onStoreCallFailed();
-        storeAway = true;
+        storeUnavailable = true;
     }
 
     /**
-     * Tells whether the store cannot be reached, so that nothing is heard of workers.
+     * Returns whether the store is unavailable, so that changes of entries are not reported.
      *
-     * @return true from the first list that failed to the first answer
+     * @return true from the first failed list to the next successful call
      */
     public boolean isStoreUnavailable() {
-        return storeAway;
+        return storeUnavailable;
     }
 
-    /** Notes that the store answers again. */
+    /** Records that the store is available again. */
     public void onStoreAvailable() {
-        final long awayMillis = clock.millis() - awaySinceMillis;
-        if (storeAway && awayMillis >= LAPSE_NEEDS_MILLIS) {
-            graceUntilMillis = clock.millis() + LAPSE_GRACE_MILLIS;
+        final long outageMillis = clock.millis() - firstFailureMillis;
+        if (storeUnavailable && outageMillis >= MIN_OUTAGE_MILLIS) {
+            graceUntilMillis = clock.millis() + EXPIRY_GRACE_MILLIS;
         }
-        doubted = false;
-        storeAway = false;
+        callFailed = false;
+        storeUnavailable = false;
     }
 
     /**
-     * Notes that the store has come back from an older copy: entries that it lost get the time to
-     * be written again, and what it says of workers that left is doubted for a while.
+     * Records that the store was restored from an older copy. Missing entries get the grace period,
+     * and entries of drained backend servers are overridden for a while.
      */
     public void onStoreRestored() {
-        graceUntilMillis = clock.millis() + LAPSE_GRACE_MILLIS;
-        departures.onStoreRestored();
+        graceUntilMillis = clock.millis() + EXPIRY_GRACE_MILLIS;
+        drainOverrides.onStoreRestored();
     }
 
     /**
-     * Drops entries whose grace is over, and believes those that were doubted and are still there.
-     * To be called a few times a second.
+     * Removes missing entries after their grace period, and ends the overrides of entries that are
+     * still listed. Called a few times a second.
      *
-     * @return the workers dropped
+     * @return the removed backend servers
      */
     public List<BackendServerId> removeExpired() {
-        Optional<ServerEntry> believed = departures.believed();
-        while (believed.isPresent()) {
-            believe(departures.judge(believed.get()));
-            believed = departures.believed();
+        Optional<ServerEntry> ended = drainOverrides.endedOverride();
+        while (ended.isPresent()) {
+            addOrUpdate(drainOverrides.apply(ended.get()));
+            ended = drainOverrides.endedOverride();
         }
-        if (storeAway || vanished.isEmpty() || clock.millis() < graceUntilMillis) {
+        if (storeUnavailable || missing.isEmpty() || clock.millis() < graceUntilMillis) {
             return List.of();
         }
-        final List<BackendServerId> dropped = new ArrayList<>(vanished);
-        dropped.forEach(this::drop);
-        return dropped;
+        final List<BackendServerId> removed = new ArrayList<>(missing);
+        removed.forEach(this::drop);
+        return removed;
     }
 
     /**
-     * Returns the workers of a service that may get new requests.
+     * Returns the backend servers of a service that may get new requests.
      *
      * @param service the service
-     * @return the workers, in the order of their registration
+     * @return the backend servers in the order of their registration
      */
     public List<TrackedServer> usable(final ServiceName service) {
         return usable.computeIfAbsent(service, this::collect);
     }
 
     /**
-     * Finds a worker.
+     * Finds a backend server.
      *
      * @param id its id
-     * @return the worker, empty if it is not in the table
+     * @return the backend server, empty if it is not in the table
      */
     public Optional<TrackedServer> find(final BackendServerId id) {
         return Optional.ofNullable(servers.get(id));
     }
 
     /**
-     * Returns all workers, leaving ones included.
+     * Returns all backend servers, including draining ones.
      *
-     * @return the workers, not to be changed
+     * @return an unmodifiable view
      */
     public Collection<TrackedServer> all() {
         return Collections.unmodifiableCollection(servers.values());
     }
 
     /**
-     * Returns the number of workers, leaving ones included.
+     * Returns the number of backend servers, including draining ones.
      *
      * @return the count
      */
@@ -299,11 +300,11 @@
     }
 
     private void drop(final BackendServerId id) {
-        vanished.remove(id);
-        final TrackedServer dropped = servers.remove(id);
-        if (dropped != null) {
-            departures.onGone(dropped.entry().incarnation());
-            lapsed.keep(dropped);
+        missing.remove(id);
+        final TrackedServer removed = servers.remove(id);
+        if (removed != null) {
+            drainOverrides.onRemoved(removed.entry().incarnation());
+            expired.keep(removed);
         }
         usable.clear();
     }
--- a/fennelstage-core/src/main/java/org/fennelstage/fleet/TrackedServer.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/fleet/TrackedServer.java
@@ -6,16 +6,16 @@
 import org.fennelstage.time.MonotonicClock;
 
 /**
- * A worker with this VM's requests at it.
+ * One incarnation of a backend server, with this VM's requests at it.
  *
- * <p>Invariant: work and counts return to zero when all requests have ended. Not thread-safe.
+ * <p>Invariant: load and counts return to zero when all requests have ended. Not thread-safe.
  */
 public final class TrackedServer {
 
     /**
-     * Longer than the second in which a cold worker counts its requests, by the longest time that a
-     * request may take to get a connection: two that this VM sends as far apart as that never
-     * arrive within one second of each other.
+     * Window in which this VM's share of the warm-up rate applies. Exceeds the second in which the
+     * backend server counts by the longest time to open a connection, so that requests that this VM
+     * sends in different windows never arrive within the same second.
      */
     static final long WARM_UP_WINDOW_MILLIS = 1_200;
 
@@ -25,11 +25,11 @@
     private ServerEntry entry;
     private int running;
     private int begunResponses;
-    private boolean ended;
+    private boolean superseded;
     private long stalledFromMillis;
     private long unreadMillis;
     private long rejectsUntilMillis;
-    private long coldUntilMillis;
+    private long warmUpUntilMillis;
     private long lastBeginMillis;
 
     private TrackedServer(
@@ -39,17 +39,17 @@
         this.clock = clock;
         this.idHash = Rendezvous.hash(entry.id().value());
         this.rejectsUntilMillis = clock.millis();
-        this.coldUntilMillis = clock.millis() + entry.warmUpLeft().toMillis();
+        this.warmUpUntilMillis = clock.millis() + entry.warmUpLeft().toMillis();
         this.lastBeginMillis = clock.millis() - WARM_UP_WINDOW_MILLIS;
     }
 
     /**
-     * Returns a worker with no requests.
+     * Returns a backend server without requests.
      *
      * @param entry its entry
      * @param clock the clock
      * @param dataCentre the state of its data centre
-     * @return the worker
+     * @return the backend server
      */
     public static TrackedServer of(
             final ServerEntry entry, final MonotonicClock clock, final Reachability dataCentre) {
@@ -66,7 +66,7 @@
     }
 
     /**
-     * Returns the hash of the worker's id.
+     * Returns the hash of the backend server's id.
      *
      * @return the hash
      */
@@ -75,17 +75,17 @@
     }
 
     /**
-     * Tells whether neither the worker's word nor its warming up holds requests back.
+     * Returns whether the backend server neither rejects requests nor is warming up.
      *
      * @return true if {@link #rejectsFor} and {@link #warmUpLeft} are zero
      */
     boolean isUnrestricted() {
         final long now = clock.millis();
-        return now >= rejectsUntilMillis && now >= coldUntilMillis;
+        return now >= rejectsUntilMillis && now >= warmUpUntilMillis;
     }
 
     /**
-     * Returns this VM's requests at the worker.
+     * Returns the number of this VM's requests at the backend server.
      *
      * @return the count
      */
@@ -94,7 +94,7 @@
     }
 
     /**
-     * Returns this VM's requests at the worker with the time to read their prompts.
+     * Returns the load of this VM's requests at the backend server.
      *
      * @return the load
      */
@@ -103,9 +103,9 @@
     }
 
     /**
-     * Notes a request sent.
+     * Records that a request was sent.
      *
-     * @param readMillis how long the worker takes to read its prompt; milliseconds
+     * @param readMillis expected time to read its prompt; milliseconds
      */
     public void begin(final long readMillis) {
         lastBeginMillis = clock.millis();
@@ -114,20 +114,20 @@
     }
 
     /**
-     * Notes that a request's prompt was read, or that it ended before.
+     * Records that the prompt of a request was read, or that the request ended before.
      *
-     * @param readMillis as given at its begin
+     * @param readMillis as passed to {@link #begin}; milliseconds
      */
     public void onPromptRead(final long readMillis) {
         unreadMillis -= readMillis;
     }
 
-    /** Notes that a request ended whose prompt was read. */
+    /** Records the end of a request, after {@link #onPromptRead}. */
     public void end() {
         running--;
     }
 
-    /** Notes that an answer began, or goes on after a pause that this VM asked for. */
+    /** Records that a response began, or that this VM resumed reading it. */
     public void beginResponse() {
         if (begunResponses == 0) {
             stalledFromMillis = clock.millis();
@@ -135,13 +135,13 @@
         begunResponses++;
     }
 
-    /** Notes that an answer that had begun ended, or is paused by this VM. */
+    /** Records that a response ended, or that this VM paused reading it. */
     public void endResponse() {
         begunResponses--;
     }
 
     /**
-     * Returns how many answers to this VM have begun and not ended.
+     * Returns the number of responses that have begun and not ended.
      *
      * @return the count
      */
@@ -150,9 +150,9 @@
     }
 
     /**
-     * Returns how long all answers that have begun have been without a byte.
+     * Returns how long no byte of any response that has begun was received.
      *
-     * @return milliseconds, zero if no answer is under way
+     * @return milliseconds, zero if no response has begun
      */
     public long stalledMillis() {
         return begunResponses == 0
@@ -161,7 +161,7 @@
     }
 
     /**
-     * Notes that the worker turned a request away and wants none from this VM for a time.
+     * Records that the backend server rejected a request and accepts none from this VM for a time.
      *
      * @param time the time
      */
@@ -171,40 +171,41 @@
     }
 
     /**
-     * Returns for how long the worker wants no request from this VM.
+     * Returns for how long the backend server rejects requests from this VM.
      *
-     * @return the time, zero if it takes requests
+     * @return the time, zero if it accepts requests
      */
     public Duration rejectsFor() {
         return Duration.ofMillis(Math.max(0, rejectsUntilMillis - clock.millis()));
     }
 
     /**
-     * Notes that the worker may have become cold without a word of it in its entry yet.
+     * Records that the backend server may have restarted without its entry showing it yet, so that
+     * it is treated as warming up.
      *
-     * @param time how long it may stay cold
+     * @param time how long it may be warming up
      */
     public void onPossibleRestart(final Duration time) {
-        coldUntilMillis = Math.max(coldUntilMillis, clock.millis() + time.toMillis());
+        warmUpUntilMillis = Math.max(warmUpUntilMillis, clock.millis() + time.toMillis());
     }
 
     /**
-     * Returns how long the worker may stay cold.
+     * Returns how long the backend server may still be warming up.
      *
-     * @return the time, zero if it is warm
+     * @return the time, zero if it is warmed up
      */
     public Duration warmUpLeft() {
-        return Duration.ofMillis(Math.max(0, coldUntilMillis - clock.millis()));
+        return Duration.ofMillis(Math.max(0, warmUpUntilMillis - clock.millis()));
     }
 
     /**
-     * Returns when the worker may get its next request while it is cold.
+     * Returns how long until the backend server may get its next request during its warm-up.
      *
-     * <p>Law: of the requests that are sent when this is zero, no more than the share lie within
-     * {@link #WARM_UP_WINDOW_MILLIS}.
+     * <p>Invariant: of the requests that are sent when this is zero, no more than the share are
+     * within {@link #WARM_UP_WINDOW_MILLIS}.
      *
-     * @param share how many requests this VM may send it in a second
-     * @return the time until then; until it is warm, if the share is 0
+     * @param share how many requests per second this VM may send to it
+     * @return the time until then; the rest of the warm-up if the share is 0
      */
     public Duration warmUpDelay(final int share) {
         if (share == 0) {
@@ -215,17 +216,17 @@
     }
 
     /**
-     * Tells whether the worker has started again since, so that this is the state of a former life.
+     * Returns whether a later incarnation of the backend server has replaced this one.
      *
-     * @return true if its requests here will not be answered
+     * @return true if the requests here will get no response
      */
     public boolean isSuperseded() {
-        return ended;
+        return superseded;
     }
 
-    /** Notes that a later life of the worker has taken its place. */
+    /** Records that a later incarnation has replaced this one. */
     void onRestarted() {
-        ended = true;
+        superseded = true;
     }
 
     void update(final ServerEntry newer) {
--- a/fennelstage-core/src/main/java/org/fennelstage/fleet/WarmUpShares.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/fleet/WarmUpShares.java
@@ -10,21 +10,20 @@
 import org.fennelstage.member.Rendezvous;
 
 /**
- * How many of the requests that a cold worker stands this VM may send it.
+ * This VM's share of the request rate that a backend server accepts during its warm-up.
  *
- * <p>A worker that has just come back is empty, and each VM that places by load would turn to it at
- * once: together they send many times what it stands, and it crashes. The VMs do not know of one
- * another's sends in time, so each has a fixed share: the requests of a second divided by the VMs,
- * and one more for as many VMs as the division leaves over. Which VMs these are follows from the
- * names of worker and VMs, so that all agree without a message, and each worker is warmed by
- * others.
+ * <p>A restarted backend server has no load, so every VM that places requests by load would select
+ * it at once, and together they would crash it. Each VM therefore has a fixed share: the requests
+ * per second divided by the number of VMs, and one more for as many VMs as the remainder. Which VMs
+ * get one more follows from rendezvous hashing of the server's and the VMs' ids, so all VMs agree
+ * without messages and the load spreads over different VMs for each server.
  *
- * <p>Laws: the shares of all VMs that know the same VMs add up to what the worker stands; a VM that
- * does not know the fleet has none. Not thread-safe.
+ * <p>Invariant: the shares of VMs that know the same VMs add up to the rate of the backend server;
+ * a VM that does not know the other VMs yet has no share. Not thread-safe.
  *
  * <pre>{@code
- * // 90 VMs before a worker that stands 17 requests a second: 17 of them have a share of 1
- * shares.of(worker, 17)  // 0 or 1
+ * // 90 VMs and a backend server that accepts 17 requests per second: 17 VMs have a share of 1
+ * shares.of(server, 17)  // 0 or 1
  * }</pre>
  */
 public final class WarmUpShares {
@@ -36,7 +35,7 @@
     private WarmUpShares() {}
 
     /**
-     * Returns the shares of a VM that does not know the fleet yet.
+     * Returns the shares of a VM that does not know the other VMs yet.
      *
      * @return the shares
      */
@@ -45,7 +44,7 @@
     }
 
     /**
-     * Takes the VMs there are.
+     * Sets the known VMs.
      *
      * @param ownVm this VM
      * @param otherVms all others
@@ -63,27 +62,27 @@
     /**
      * Returns this VM's share.
      *
-     * @param worker the worker
-     * @param requests how many requests it stands from all VMs together
+     * @param server the backend server
+     * @param requests how many requests per second it accepts from all VMs together
      * @return this VM's part of them, 0 if it has none
      */
-    public int of(final BackendServerId worker, final int requests) {
+    public int of(final BackendServerId server, final int requests) {
         if (own.isEmpty()) {
             return 0;
         }
         final int vms = others.size() + 1;
-        final int leftOver = requests % vms;
-        final int rank = ranks.computeIfAbsent(worker, w -> rank(w, own.get()));
-        return requests / vms + (rank < leftOver ? 1 : 0);
+        final int remainder = requests % vms;
+        final int rank = ranks.computeIfAbsent(server, s -> rank(s, own.get()));
+        return requests / vms + (rank < remainder ? 1 : 0);
     }
 
-    /** Returns how many VMs come before this one at a worker. */
-    private int rank(final BackendServerId worker, final VmId ownVm) {
-        final long ownWeight = weight(worker, ownVm);
-        return (int) others.stream().filter(vm -> weight(worker, vm) > ownWeight).count();
+    /** Returns the number of VMs with a higher weight than this one for a backend server. */
+    private int rank(final BackendServerId server, final VmId ownVm) {
+        final long ownWeight = weight(server, ownVm);
+        return (int) others.stream().filter(vm -> weight(server, vm) > ownWeight).count();
     }
 
-    private static long weight(final BackendServerId worker, final VmId vm) {
-        return Rendezvous.weight(worker.value(), vm.value());
+    private static long weight(final BackendServerId server, final VmId vm) {
+        return Rendezvous.weight(server.value(), vm.value());
     }
 }
--- a/fennelstage-core/src/main/java/org/fennelstage/fleet/package-info.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/fleet/package-info.java
@@ -1,2 +1,2 @@
-/** The workers as one VM knows them: entries in the store, own requests under way, evidence. */
+/** The backend servers as one VM sees them: store entries, own requests, load and health. */
 package org.fennelstage.fleet;
--- a/fennelstage-core/src/test/java/org/fennelstage/fleet/EligibilityTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/fleet/EligibilityTest.java
@@ -23,14 +23,14 @@
     private static final WarmUp WARM_UP = new WarmUp(Duration.ofSeconds(3), 2);
 
     private final AtomicLong now = new AtomicLong(1_000_000);
-    private final AtomicBoolean storeAway = new AtomicBoolean();
+    private final AtomicBoolean storeUnavailable = new AtomicBoolean();
     private final Evacuations evacuations = Evacuations.empty(now::get);
     private final WarmUpShares shares = WarmUpShares.empty();
     private final Eligibility eligibility =
-            new Eligibility(evacuations, shares, s -> Optional.of(WARM_UP), storeAway::get);
+            new Eligibility(evacuations, shares, s -> Optional.of(WARM_UP), storeUnavailable::get);
 
     @BeforeEach
-    void knowTheFleet() {
+    void setVms() {
         shares.onVms(VmId.of("vm-1"), Set.of());
     }
 
@@ -50,14 +50,14 @@
     }
 
     @Test
-    void aWarmWorkerMayGetRequestsOneAfterTheOther() {
+    void warmedUpServerIsEligibleWithoutDelay() {
         final TrackedServer server = server(Duration.ZERO);
         server.begin(0);
         assertThat(eligibility.isEligible(server)).isTrue();
     }
 
     @Test
-    void aWorkerOfAnEvacuatedDataCentreMayNotAndNobodyKnowsWhen() {
+    void serverOfAnEvacuatedDataCentreIsNotEligibleForAnUnknownTime() {
         final TrackedServer server = server(Duration.ZERO);
         evacuations.begin(DC);
         assertThat(eligibility.isEligible(server)).isFalse();
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void aColdWorkerMayOnlyAtTheRateThatItStands() {
+    void serverThatIsWarmingUpIsEligibleAtItsWarmUpRate() {
         final TrackedServer server = server(Duration.ofSeconds(3));
         assertThat(eligibility.isEligible(server)).isTrue();
         server.begin(0);
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void aWorkerThatHasWarmedUpIsWarm() {
+    void serverIsUnrestrictedAfterItsWarmUp() {
         final TrackedServer server = server(Duration.ofSeconds(3));
         now.addAndGet(3_000);
         server.begin(0);
@@ -83,41 +83,41 @@
     }
 
     @Test
-    void aWorkerThatWantsNothingMayNot() {
+    void rejectingServerIsNotEligible() {
         final TrackedServer server = server(Duration.ZERO);
         server.onRejected(Duration.ofSeconds(5));
         assertThat(eligibility.wait(server)).contains(Duration.ofSeconds(5));
     }
 
     @Test
-    void theReasonsAreCounted() {
-        final TrackedServer cold = server(Duration.ofSeconds(3));
-        cold.begin(0);
-        final TrackedServer turnsAway = server(Duration.ZERO);
-        turnsAway.onRejected(Duration.ofSeconds(1));
-        final List<TrackedServer> servers = List.of(server(Duration.ZERO), cold, turnsAway);
+    void reasonsAreCounted() {
+        final TrackedServer warmingUp = server(Duration.ofSeconds(3));
+        warmingUp.begin(0);
+        final TrackedServer rejecting = server(Duration.ZERO);
+        rejecting.onRejected(Duration.ofSeconds(1));
+        final List<TrackedServer> servers = List.of(server(Duration.ZERO), warmingUp, rejecting);
         assertThat(eligibility.reasons(servers)).isEqualTo(new Eligibility.Reasons(0, 1, 1));
         evacuations.begin(DC);
         assertThat(eligibility.reasons(servers)).isEqualTo(new Eligibility.Reasons(3, 0, 0));
     }
 
-    /** Guards against a crowd at workers that became cold just before they were taken back. */
+    /** Guards against overloading servers that restarted before their evacuation ended. */
     @Test
-    void workersThatAreTakenBackAreTakenForCold() {
+    void serversAreTreatedAsWarmingUpWhenTheirEvacuationEnds() {
         final TrackedServer server = server(Duration.ZERO);
         eligibility.onEvacuationEnded(server);
         server.begin(0);
         assertThat(eligibility.isEligible(server)).isFalse();
     }
 
-    /** Guards against a crowd at a restarted worker whose entry nobody can read. */
+    /** Guards against overloading a restarted server whose entry cannot be read. */
     @Test
-    void whileTheStoreIsAwayAWorkerThatWasOutOfReachIsTakenForCold() {
+    void serverThatWasUnreachableIsTreatedAsWarmingUpWhileTheStoreIsUnavailable() {
         final TrackedServer server = server(Duration.ZERO);
         server.health().onUnreachable();
         server.begin(0);
         assertThat(eligibility.isEligible(server)).isTrue();
-        storeAway.set(true);
+        storeUnavailable.set(true);
         assertThat(eligibility.isEligible(server)).isFalse();
         now.addAndGet(600);
         assertThat(eligibility.isEligible(server)).isTrue();
--- a/fennelstage-core/src/test/java/org/fennelstage/fleet/EvacuationsTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/fleet/EvacuationsTest.java
@@ -16,7 +16,7 @@
     private final Evacuations evacuations = Evacuations.empty(now::get);
 
     @Test
-    void aDataCentreIsEvacuatedFromTheOrderUntilItIsTakenBack() {
+    void dataCentreIsEvacuatedFromBeginToEnd() {
         assertThat(evacuations.begin(A)).isTrue();
         assertThat(evacuations.includes(A)).isTrue();
         assertThat(evacuations.includes(B)).isFalse();
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void anOrderThatIsKnownIsNoNews() {
+    void repeatedBeginOrEndReturnsFalse() {
         evacuations.begin(A);
         assertThat(evacuations.begin(A)).isFalse();
         evacuations.end(A);
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void aListEndsWhatItLacksAndBeginsWhatItHolds() {
+    void listReplacesTheEvacuations() {
         evacuations.begin(A);
         assertThat(evacuations.replaceAll(Set.of(B))).containsExactly(A);
         assertThat(evacuations.includes(A)).isFalse();
@@ -41,10 +41,11 @@
     }
 
     /**
-     * Guards against requests to a data centre whose evacuation an older copy of the store lacks.
+     * Guards against requests to an evacuated data centre after a restore that lacks its
+     * evacuation.
      */
     @Test
-    void anEvacuationThatTheStoreLostStaysInForceUntilOperatorsHadTimeToWriteItAgain() {
+    void evacuationMissingAfterARestoreStaysInForceUntilSettled() {
         evacuations.begin(A);
         evacuations.onStoreRestored();
         assertThat(evacuations.replaceAll(Set.of())).isEmpty();
@@ -55,7 +56,7 @@
     }
 
     @Test
-    void anEvacuationThatNobodyWritesAgainEndsWhenTheStoreIsTakenAtItsWord() {
+    void evacuationThatIsNotWrittenAgainEndsWhenSettled() {
         evacuations.begin(A);
         evacuations.onStoreRestored();
         evacuations.replaceAll(Set.of());
@@ -64,7 +65,7 @@
     }
 
     @Test
-    void anEndThatIsWrittenAfterTheReturnCountsAtOnce() {
+    void endAfterARestoreIsAppliedAtOnce() {
         evacuations.begin(A);
         evacuations.onStoreRestored();
         assertThat(evacuations.end(A)).isTrue();
@@ -72,7 +73,7 @@
     }
 
     @Test
-    void itsAgeIsTheTimeSinceTheStoreWasHeard() {
+    void ageIsTheTimeSinceTheStoreWasRead() {
         now.addAndGet(300);
         assertThat(evacuations.ageMillis()).isEqualTo(300);
         evacuations.onStoreRead();
--- a/fennelstage-core/src/test/java/org/fennelstage/fleet/LoadBoardTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/fleet/LoadBoardTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void theLastReportOfEachVmCounts() {
+    void latestReportOfEachVmCounts() {
         report("vm-1", Map.of(A, new Load(2, 100)));
         report("vm-2", Map.of(A, new Load(1, 50), B, new Load(4, 10)));
         assertThat(board.others(A)).isEqualTo(new Load(3, 150));
@@ -31,12 +31,9 @@
         assertThat(board.others(B)).isEqualTo(new Load(5, 0));
     }
 
-    /**
-     * Symptom: a worker gets nothing for the rest of the day. Events: a VM dies with requests
-     * there. Cause: its last report was believed for ever.
-     */
+    /** Guards against counting the load of a crashed VM for ever. */
     @Test
-    void aVmThatSaysNothingMoreIsForgotten() {
+    void reportOfAVmThatStopsReportingExpires() {
         report("vm-1", Map.of(A, new Load(2, 100)));
         now.addAndGet(1_000);
         report("vm-2", Map.of(A, new Load(1, 7)));
@@ -47,7 +44,7 @@
     }
 
     @Test
-    void thoseThatDoNotReportHereAreTakenToHaveAsMuch() {
+    void loadIsScaledUpForVmsThatDoNotReport() {
         scale = 3;
         report("vm-1", Map.of(A, new Load(2, 100)));
         assertThat(board.others(A)).isEqualTo(new Load(6, 300));
--- a/fennelstage-core/src/test/java/org/fennelstage/fleet/ServerHealthTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/fleet/ServerHealthTest.java
@@ -11,12 +11,9 @@
     private final Reachability dataCentre = Reachability.of(now::get);
     private final ServerHealth health = ServerHealth.of(now::get, dataCentre);
 
-    /**
-     * Symptom: four requests in ten fail at one worker whose health check is good. Cause: only the
-     * health check was believed.
-     */
+    /** Guards against using a server that fails requests while its health check passes. */
     @Test
-    void aServerThatFailsTwiceInARowIsUsedAfterTheOthers() {
+    void twoConsecutiveFailuresMakeAServerSuspect() {
         health.onEnd(true, 0);
         assertThat(health.tier()).isEqualTo(ServerHealth.Tier.SOUND);
         health.onEnd(true, 0);
@@ -24,7 +21,7 @@
     }
 
     @Test
-    void failuresThatTheRouteHasAnywayDoNotSpeakAgainstAServer() {
+    void failuresAtTheBaselineRateDoNotMakeAServerSuspect() {
         for (int i = 0; i < 100; i++) {
             health.onEnd(i % 7 == 0, 1.0 / 7);
         }
@@ -32,7 +29,7 @@
     }
 
     @Test
-    void aMendedServerGetsTrafficAgain() {
+    void suspectServerRecoversAfterItsFailureRateDecays() {
         health.onEnd(true, 0);
         health.onEnd(true, 0);
         now.addAndGet(3_000);
@@ -40,7 +37,7 @@
     }
 
     @Test
-    void aServerThatCannotBeReachedIsLeftOutForAPauseThatGrows() {
+    void unreachableServerIsExcludedForAGrowingPause() {
         health.onUnreachable();
         assertThat(health.tier()).isEqualTo(ServerHealth.Tier.UNREACHABLE);
         assertThat(health.probeDue()).isFalse();
@@ -56,12 +53,9 @@
         assertThat(health.probeDue()).isFalse();
     }
 
-    /**
-     * Symptom: for seconds after a data centre was cut off, requests wait for connections to one of
-     * its workers after the other. Cause: what one worker showed did not speak against the others.
-     */
+    /** Guards against connection attempts to each server of a data centre that is cut off. */
     @Test
-    void severalServersOutOfReachSpeakAgainstAllOfTheirDataCentreUntilOneAnswers() {
+    void severalUnreachableServersMarkTheDataCentreUntilOneResponds() {
         final ServerHealth other = ServerHealth.of(now::get, dataCentre);
         final ServerHealth third = ServerHealth.of(now::get, dataCentre);
         health.onUnreachable();
@@ -76,18 +70,15 @@
     }
 
     @Test
-    void aByteFromAServerEndsItsPause() {
+    void receivedBytesEndThePause() {
         health.onUnreachable();
         health.onBytesReceived();
         assertThat(health.tier()).isEqualTo(ServerHealth.Tier.SOUND);
     }
 
-    /**
-     * Symptom: while one worker is dark, one request of every VM waits for it in vain. Events: in a
-     * large fleet a VM meets each worker once in many seconds. Cause: each VM found out by itself.
-     */
+    /** Guards against every VM losing a request to the same unreachable server. */
     @Test
-    void aWorkerThatAnotherVmCouldNotReachIsUsedAfterOthersForAWhile() {
+    void serverReportedByAPeerIsSuspectForAWhile() {
         now.addAndGet(5_000);
         assertThat(health.onPeerReport(0.5)).isTrue();
         assertThat(health.tier()).isEqualTo(ServerHealth.Tier.SUSPECT);
@@ -99,7 +90,7 @@
     }
 
     @Test
-    void theWordOfAnotherVmCountsLessThanAByteFromTheWorker() {
+    void recentlyReceivedBytesOverrideAPeerReport() {
         now.addAndGet(5_000);
         health.onBytesReceived();
         assertThat(health.onPeerReport(0)).isFalse();
@@ -110,9 +101,9 @@
         assertThat(health.tier()).isEqualTo(ServerHealth.Tier.SOUND);
     }
 
-    /** A VM whose own way is cut must not speak against all workers. */
+    /** Guards against reports from a VM whose own network path is broken. */
     @Test
-    void aFailureIsWorthTellingOnlyWhileOtherWorkersOfTheDataCentreAreHeard() {
+    void failureIsReportedOnlyIfOtherServersOfTheDataCentreRespond() {
         final ServerHealth other = ServerHealth.of(now::get, dataCentre);
         assertThat(health.onUnreachable()).isFalse();
         other.onBytesReceived();
--- a/fennelstage-core/src/test/java/org/fennelstage/fleet/ServerTableTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/fleet/ServerTableTest.java
@@ -19,7 +19,7 @@
     private final AtomicLong now = new AtomicLong(1_000_000);
     private final ServerTable table = ServerTable.of(now::get);
 
-    static ServerEntry entry(final String id, final boolean leaving) {
+    static ServerEntry entry(final String id, final boolean draining) {
         return new ServerEntry(
                 Incarnation.of(BackendServerId.of(id)),
                 SERVICE,
@@ -27,12 +27,12 @@
                 DataCentreId.of("dc-a"),
                 "v1",
                 8,
-                leaving,
+                draining,
                 Position.of(0, 1));
     }
 
     @Test
-    void aServerThatIsLeavingGetsNothingNew() {
+    void drainingServerGetsNoNewRequests() {
         table.put(entry("a", false));
         table.put(entry("b", false));
         assertThat(ids()).containsExactly("a", "b");
@@ -41,18 +41,18 @@
     }
 
     @Test
-    void aServerWhoseEntryIsRemovedGetsNothingNewAtOnce() {
+    void serverWhoseEntryIsRemovedGetsNoNewRequests() {
         table.put(entry("a", false));
         table.remove(BackendServerId.of("a"));
         assertThat(ids()).isEmpty();
     }
 
     /**
-     * Symptom: a worker that wants nothing for some seconds gets requests meanwhile. Events: its
-     * entry lapses and is written again. Cause: the worker was begun anew with its entry.
+     * Guards against losing the rejection time of a server whose entry expires and is written
+     * again.
      */
     @Test
-    void aWorkerWhoseEntryComesBackStillWantsNothingForTheTimeThatItSaid() {
+    void serverWhoseEntryIsWrittenAgainKeepsItsRejectionTime() {
         table.put(entry("a", false));
         table.usable(SERVICE).get(0).onRejected(Duration.ofSeconds(5));
         table.remove(BackendServerId.of("a"));
@@ -67,80 +67,70 @@
     }
 
     @Test
-    void aLaterLifeOfAWorkerIsBegunAnew() {
+    void laterIncarnationDoesNotKeepTheRejectionTime() {
         table.put(entry("a", false));
         table.usable(SERVICE).get(0).onRejected(Duration.ofSeconds(5));
         table.remove(BackendServerId.of("a"));
-        table.put(born("a", 7));
+        table.put(startedAt("a", 7));
         assertThat(table.usable(SERVICE).get(0).rejectsFor()).isZero();
     }
 
     /**
-     * Symptom: after a short outage of the store every request is rejected for seconds. Events: the
-     * store is away, workers cannot renew, the store returns and drops their entries, the workers
-     * register again. Cause: entries that lapsed for want of the store taken for workers gone.
+     * Guards against removing running servers whose entries expired during an outage of the store.
      */
     @Test
-    void entriesThatVanishAroundAnOutageStayUntilTheirServersHadTimeToReturn() {
+    void entriesMissingAfterAnOutageAreKeptForTheGracePeriod() {
         table.put(entry("a", false));
         table.put(entry("b", false));
         table.onStoreUnavailable();
-        now.addAndGet(ServerTable.LAPSE_NEEDS_MILLIS);
+        now.addAndGet(ServerTable.MIN_OUTAGE_MILLIS);
         table.onStoreAvailable();
         table.replaceAll(List.of());
         assertThat(ids()).containsExactly("a", "b");
         table.put(entry("a", false));
-        now.addAndGet(ServerTable.LAPSE_GRACE_MILLIS);
+        now.addAndGet(ServerTable.EXPIRY_GRACE_MILLIS);
         assertThat(table.removeExpired()).containsExactly(BackendServerId.of("b"));
         assertThat(ids()).containsExactly("a");
     }
 
-    /**
-     * Symptom: a worker that left gets requests for two seconds more. Events: the store cuts its
-     * watches, the worker leaves in the gap, the list that follows lacks it. Cause: every
-     * interruption taken for an outage in which entries lapse.
-     */
+    /** Guards against requests to a stopped server after an interruption too short for expiry. */
     @Test
-    void afterAShortInterruptionAnEntryThatVanishedIsDroppedAtOnce() {
+    void entryMissingAfterAShortInterruptionIsRemovedAtOnce() {
         table.put(entry("a", false));
         table.onStoreUnavailable();
-        now.addAndGet(ServerTable.LAPSE_NEEDS_MILLIS - 1);
+        now.addAndGet(ServerTable.MIN_OUTAGE_MILLIS - 1);
         table.onStoreAvailable();
         table.replaceAll(List.of());
         assertThat(ids()).isEmpty();
     }
 
-    static ServerEntry born(final String id, final long bornMillis) {
-        final ServerEntry plain = entry(id, false);
+    static ServerEntry startedAt(final String id, final long startMillis) {
+        final ServerEntry entry = entry(id, false);
         return new ServerEntry(
-                new Incarnation(plain.id(), bornMillis),
-                plain.service(),
-                plain.address(),
-                plain.dataCentre(),
-                plain.version(),
-                plain.capacity(),
-                plain.draining(),
-                plain.position());
+                new Incarnation(entry.id(), startMillis),
+                entry.service(),
+                entry.address(),
+                entry.dataCentre(),
+                entry.version(),
+                entry.capacity(),
+                entry.draining(),
+                entry.position());
     }
 
     private TrackedServer server(final String id) {
         return table.find(BackendServerId.of(id)).orElseThrow();
     }
 
-    /**
-     * Symptom: a worker that came back sound is used after all others for seconds, and its count of
-     * running requests never falls to zero. Events: a worker fails, crashes and starts again under
-     * its id. Cause: evidence and counts were kept by id.
-     */
+    /** Guards against keeping health and counts of a former incarnation under the same id. */
     @Test
-    void aWorkerThatStartedAgainBeginsWithNothingKnownOfIt() {
-        table.put(born("a", 1));
+    void restartedServerStartsWithoutStateOfItsFormerIncarnation() {
+        table.put(startedAt("a", 1));
         final TrackedServer former = server("a");
         former.begin(100);
         former.health().onUnreachable();
         final List<TrackedServer> ended = new ArrayList<>();
         table.onRestart(ended::add);
-        table.put(born("a", 2));
+        table.put(startedAt("a", 2));
         assertThat(server("a").running()).isZero();
         assertThat(server("a").health().tier()).isEqualTo(ServerHealth.Tier.SOUND);
         assertThat(ended).containsExactly(former);
@@ -149,18 +139,18 @@
     }
 
     @Test
-    void anEntryOfAFormerLifeIsPassedOverAlsoAfterTheLaterOneIsGone() {
-        table.put(born("a", 2));
-        assertThat(table.put(born("a", 1))).isFalse();
+    void entryOfAFormerIncarnationIsIgnoredEvenAfterTheLaterOneIsRemoved() {
+        table.put(startedAt("a", 2));
+        assertThat(table.put(startedAt("a", 1))).isFalse();
         assertThat(server("a").entry().incarnation().startMillis()).isEqualTo(2);
         table.remove(BackendServerId.of("a"));
-        assertThat(table.put(born("a", 1))).isFalse();
+        assertThat(table.put(startedAt("a", 1))).isFalse();
         assertThat(ids()).isEmpty();
-        assertThat(table.put(born("a", 2))).isTrue();
+        assertThat(table.put(startedAt("a", 2))).isTrue();
     }
 
     @Test
-    void anEntryThatTurnedBadNamesNoWorkerAlsoWhileTheStoreIsAway() {
+    void serverWithAnInvalidEntryIsRemovedEvenWhileTheStoreIsUnavailable() {
         table.put(entry("a", false));
         table.put(entry("b", false));
         table.onStoreUnavailable();
@@ -169,7 +159,7 @@
     }
 
     @Test
-    void nothingIsDroppedWhileTheStoreIsAway() {
+    void nothingIsRemovedWhileTheStoreIsUnavailable() {
         table.put(entry("a", false));
         table.onStoreUnavailable();
         table.remove(BackendServerId.of("a"));
@@ -179,12 +169,12 @@
     }
 
     @Test
-    void anEntryThatVanishesLongAfterAnOutageIsDroppedAtOnce() {
+    void entryMissingAfterTheGracePeriodIsRemovedAtOnce() {
         table.put(entry("a", false));
         table.onStoreUnavailable();
-        now.addAndGet(ServerTable.LAPSE_NEEDS_MILLIS);
+        now.addAndGet(ServerTable.MIN_OUTAGE_MILLIS);
         table.onStoreAvailable();
-        now.addAndGet(ServerTable.LAPSE_GRACE_MILLIS);
+        now.addAndGet(ServerTable.EXPIRY_GRACE_MILLIS);
         table.remove(BackendServerId.of("a"));
         assertThat(ids()).isEmpty();
     }
@@ -193,31 +183,27 @@
         return table.usable(SERVICE).stream().map(s -> s.entry().id().value()).toList();
     }
 
-    /**
-     * Symptom: all requests are refused although all workers are well. Events: the store comes back
-     * from a copy made before the workers registered. Cause: a store that was never seen away had
-     * lost entries.
-     */
+    /** Guards against removing running servers that a restored store does not list. */
     @Test
-    void whatAStoreLosesByComingBackFromACopyIsKeptUntilItHadTimeToComeAgain() {
+    void entriesMissingAfterARestoreAreKeptForTheGracePeriod() {
         table.put(entry("a", false));
         table.onStoreRestored();
         table.replaceAll(List.of());
         assertThat(ids()).containsExactly("a");
-        now.addAndGet(ServerTable.LAPSE_GRACE_MILLIS);
+        now.addAndGet(ServerTable.EXPIRY_GRACE_MILLIS);
         table.removeExpired();
         assertThat(ids()).isEmpty();
     }
 
     @Test
-    void aWorkerThatLeftAndIsInTheCopyIsUsedOnlyIfItIsThereForLong() {
+    void drainedServerInARestoredStoreIsUsedOnlyAfterTheOverridePeriod() {
         table.put(entry("a", false));
         table.put(entry("a", true));
         table.remove(entry("a", true).id());
         table.onStoreRestored();
         table.replaceAll(List.of(entry("a", false)));
         assertThat(ids()).isEmpty();
-        now.addAndGet(Departures.DOUBT_MILLIS);
+        now.addAndGet(DrainOverrides.OVERRIDE_MILLIS);
         table.removeExpired();
         assertThat(ids()).containsExactly("a");
     }
--- a/fennelstage-core/src/test/java/org/fennelstage/fleet/WarmUpSharesTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/fleet/WarmUpSharesTest.java
@@ -24,7 +24,7 @@
 
 class WarmUpSharesTest {
 
-    private static final BackendServerId WORKER = BackendServerId.of("i-1");
+    private static final BackendServerId SERVER = BackendServerId.of("i-1");
     private static final long SECOND_MILLIS = 1_000;
 
     private static Set<VmId> vms(final int count) {
@@ -44,25 +44,25 @@
     }
 
     private static int sum(final Set<VmId> fleet, final int requests) {
-        return fleet.stream().mapToInt(vm -> shares(vm, fleet).of(WORKER, requests)).sum();
+        return fleet.stream().mapToInt(vm -> shares(vm, fleet).of(SERVER, requests)).sum();
     }
 
     @Property(tries = 200)
-    void theSharesOfAllVmsAddUpToWhatTheWorkerStands(
+    void sharesOfAllVmsAddUpToTheRate(
             @ForAll @IntRange(min = 1, max = 300) final int vms,
             @ForAll @IntRange(min = 0, max = 60) final int requests) {
         assertThat(sum(vms(vms), requests)).isEqualTo(requests);
     }
 
-    /** Guards against a VM that has just started and sends a cold worker all that it stands. */
+    /** Guards against a VM without known peers that uses the whole warm-up rate. */
     @Test
-    void aVmThatDoesNotKnowTheFleetHasNoShare() {
-        assertThat(WarmUpShares.empty().of(WORKER, 17)).isZero();
+    void vmWithUnknownPeersHasNoShare() {
+        assertThat(WarmUpShares.empty().of(SERVER, 17)).isZero();
     }
 
-    /** Guards against VMs that do not know of each other and together exceed the overshoot. */
+    /** Bounds the overload by VMs that do not know all of their peers. */
     @Property(tries = 100)
-    void vmsThatMissAThirdOfTheFleetEachStayWithinHalfAsMuchAgain(
+    void vmsThatMissAThirdOfTheirPeersExceedTheRateByAtMostHalf(
             @ForAll @IntRange(min = 3, max = 120) final int count, @ForAll final long seed) {
         final int requests = 17;
         final int slack = 5;
@@ -75,15 +75,15 @@
             Collections.shuffle(others, random);
             final Set<VmId> known = new HashSet<>(others.subList(0, others.size() - count / 3));
             known.add(vm);
-            sum += shares(vm, known).of(WORKER, requests);
+            sum += shares(vm, known).of(SERVER, requests);
         }
         assertThat(sum).isLessThanOrEqualTo((int) (requests * 1.5) + slack);
     }
 
-    private static TrackedServer cold(final AtomicLong now) {
+    private static TrackedServer warmingUp(final AtomicLong now) {
         final ServerEntry entry =
                 new ServerEntry(
-                        Incarnation.of(WORKER),
+                        Incarnation.of(SERVER),
                         ServiceName.of("models"),
                         new ServerAddress("10.0.0.1", 80),
                         DataCentreId.of("dc-a"),
@@ -95,11 +95,9 @@
         return TrackedServer.of(entry, now::get, Reachability.of(now::get));
     }
 
-    /**
-     * Guards against a crowd of VMs that crashes a worker by coming to it as soon as it is back.
-     */
+    /** Guards against VMs that together overload a restarted server. */
     @Property(tries = 40)
-    void whateverArrivesAllVmsTogetherStayWithinWhatTheWorkerStandsInAnySecond(
+    void allVmsTogetherStayWithinTheRateInAnySecond(
             @ForAll @IntRange(min = 1, max = 120) final int count,
             @ForAll @IntRange(min = 1, max = 40) final int requests,
             @ForAll final long seed) {
@@ -109,8 +107,8 @@
         final List<TrackedServer> views = new ArrayList<>();
         final List<Integer> shares = new ArrayList<>();
         for (final VmId vm : fleet) {
-            views.add(cold(now));
-            shares.add(shares(vm, fleet).of(WORKER, requests));
+            views.add(warmingUp(now));
+            shares.add(shares(vm, fleet).of(SERVER, requests));
         }
         final Deque<Long> lastSecond = new ArrayDeque<>();
         for (int step = 0; step < 4_000; step++) {
@@ -127,11 +125,11 @@
         }
     }
 
-    /** Guards against requests sent while the worker seemed warm, which count as well. */
+    /** Guards against ignoring requests that were sent just before the warm-up began. */
     @Test
-    void aRequestSentBeforeTheWorkerBecameColdCounts() {
+    void requestSentBeforeTheWarmUpCounts() {
         final AtomicLong now = new AtomicLong(1_000_000);
-        final TrackedServer server = cold(now);
+        final TrackedServer server = warmingUp(now);
         server.begin(0);
         assertThat(server.warmUpDelay(1))
                 .isEqualTo(Duration.ofMillis(TrackedServer.WARM_UP_WINDOW_MILLIS));
@@ -140,9 +138,9 @@
     }
 
     @Test
-    void aVmWithoutAShareWaitsUntilTheWorkerIsWarm() {
+    void vmWithoutAShareWaitsForTheEndOfTheWarmUp() {
         final AtomicLong now = new AtomicLong(1_000_000);
-        final TrackedServer server = cold(now);
+        final TrackedServer server = warmingUp(now);
         assertThat(server.warmUpDelay(0)).isEqualTo(Duration.ofHours(1));
         now.addAndGet(Duration.ofHours(1).toMillis());
         assertThat(server.warmUpLeft()).isZero();
