--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Beliefs.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Beliefs.java
@@ -29,7 +29,7 @@
 import org.fennelstage.serving.Service;
 import org.fennelstage.serving.ServingConfiguration;
 import org.fennelstage.serving.WarmUp;
-import org.fennelstage.sizing.Opinions;
+import org.fennelstage.sizing.ConfidenceGains;
 import org.fennelstage.time.MonotonicClock;
 
 /**
@@ -63,7 +63,7 @@
     private final Map<ServiceName, RepeatBudget> budgets = new HashMap<>();
     private final Map<String, UsualFailures> usualFailures = new HashMap<>();
     private final Map<String, Pace> paces = new HashMap<>();
-    private final Map<String, Opinions> opinions = new HashMap<>();
+    private final Map<String, ConfidenceGains> opinions = new HashMap<>();
     private Optional<ServingConfiguration> configuration = Optional.empty();
     private int vmCount;
     private Position ordersKnownTo = Position.NONE;
@@ -83,7 +83,8 @@
         this.servers = ServerTable.of(clock);
         this.evacuations = Evacuations.empty(clock);
         this.eligibility =
-                new Eligibility(evacuations, warmUpShares, this::warmUp, this.servers::isStoreAway);
+                new Eligibility(
+                        evacuations, warmUpShares, this::warmUp, this.servers::isStoreUnavailable);
     }
 
     public MonotonicClock clock() {
@@ -155,8 +156,8 @@
     }
 
     /** Returns what models' opinions tell on a route; requests of a kind are alike. */
-    Opinions opinions(final String route) {
-        return opinions.computeIfAbsent(route, r -> Opinions.empty());
+    ConfidenceGains opinions(final String route) {
+        return opinions.computeIfAbsent(route, r -> ConfidenceGains.empty());
     }
 
     private double ownSlack() {
@@ -204,7 +205,7 @@
     public void onTakenBack(final DataCentreId dataCentre) {
         servers.all().stream()
                 .filter(server -> server.entry().dataCentre().equals(dataCentre))
-                .forEach(eligibility::onTakenBack);
+                .forEach(eligibility::onEvacuationEnded);
     }
 
     /** Returns the share of a route's requests that fail wherever they run. */
@@ -252,7 +253,7 @@
 
     /** Notes that the store has come back from an older copy. */
     public void onStoreReplaced() {
-        servers.onStoreReplaced();
+        servers.onStoreRestored();
         canaries.values().forEach(Canary::onStoreReplaced);
         settling = true;
         settledAtMillis = clock.millis() + REWRITE_MILLIS;
@@ -339,7 +340,7 @@
         for (final TrackedServer server : usable) {
             if (canary.admits(server.entry().version(), toNew)) {
                 anyAdmitted = true;
-                if (eligibility.mayGet(server)) {
+                if (eligibility.isEligible(server)) {
                     eligible.add(server);
                 }
             }
