--- a/fennelstage-bench/src/main/java/org/fennelstage/bench/DecisionBenchmark.java
+++ b/fennelstage-bench/src/main/java/org/fennelstage/bench/DecisionBenchmark.java
@@ -4,8 +4,8 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import org.fennelstage.backend.WorkerChoice;
-import org.fennelstage.backend.WorkerLoads;
+import org.fennelstage.backend.ServerLoads;
+import org.fennelstage.backend.ServerSelector;
 import org.fennelstage.configuration.Configuration;
 import org.fennelstage.configuration.Digest;
 import org.fennelstage.id.ModelId;
@@ -47,8 +47,8 @@
     public int workers;
 
     private final int[] best = new int[AFFINE];
-    private final WorkerChoice affinity = WorkerChoice.boundedAffinity(1.25);
-    private WorkerLoads loads;
+    private final ServerSelector affinity = ServerSelector.boundedAffinity(1.25);
+    private ServerLoads loads;
     private Configuration configuration;
     private Team team;
     private Evidence evidence;
@@ -58,7 +58,7 @@
     @Setup
     public void setUp() {
         final SplittableRandom random = new SplittableRandom(5);
-        loads = WorkerLoads.of(WorkersMain.servers(workers));
+        loads = ServerLoads.of(WorkersMain.servers(workers));
         for (int i = 0; i < workers; i++) {
             loads.set(i, random.nextInt(8), false);
         }
@@ -84,7 +84,7 @@
     /** Finds the candidates to ask for a slot. */
     @Benchmark
     public int candidates() {
-        WorkerChoice.firstByAffinity(loads, prefix++, best);
+        ServerSelector.firstByAffinity(loads, prefix++, best);
         return best[0];
     }
 
--- a/fennelstage-bench/src/main/java/org/fennelstage/bench/WorkersMain.java
+++ b/fennelstage-bench/src/main/java/org/fennelstage/bench/WorkersMain.java
@@ -12,8 +12,8 @@
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
 import org.fennelstage.backend.BackendServer;
-import org.fennelstage.backend.WorkerChoice;
-import org.fennelstage.backend.WorkerLoads;
+import org.fennelstage.backend.ServerLoads;
+import org.fennelstage.backend.ServerSelector;
 import org.fennelstage.id.BackendServerId;
 import org.fennelstage.id.DataCentreId;
 import org.fennelstage.id.VersionId;
@@ -97,8 +97,8 @@
         private final Map<Integer, Boolean>[] caches;
         private final double[] waits = new double[REQUESTS];
         private final double[] firsts = new double[REQUESTS];
-        private final WorkerLoads loads;
-        private final WorkerChoice choice;
+        private final ServerLoads loads;
+        private final ServerSelector choice;
         private final double[] popularity = new double[PREFIXES];
         private int started;
         private int measured;
@@ -121,7 +121,7 @@
                 queues[i] = new ArrayDeque<>();
                 caches[i] = lru();
             }
-            this.loads = WorkerLoads.of(servers(workers));
+            this.loads = ServerLoads.of(servers(workers));
             this.choice = choice(knowledge);
             double sum = 0;
             for (int i = 0; i < PREFIXES; i++) {
@@ -234,7 +234,7 @@
             for (int i = 0; i < workers; i++) {
                 loads.set(i, exact[i], false);
             }
-            WorkerChoice.firstByAffinity(loads, prefix, best);
+            ServerSelector.firstByAffinity(loads, prefix, best);
             final int[] all = Arrays.copyOf(best, affine + others);
             for (int i = affine; i < all.length; i++) {
                 all[i] = random.nextInt(workers);
@@ -265,11 +265,11 @@
                     (double) hits / measured);
         }
 
-        private WorkerChoice choice(final Knowledge known) {
+        private ServerSelector choice(final Knowledge known) {
             return switch (known) {
-                case RANDOM -> WorkerChoice.random(random.split());
-                case LAGGED_LEAST, EXACT_LEAST -> WorkerChoice.leastLoad(random.split());
-                default -> WorkerChoice.boundedAffinity(1.25);
+                case RANDOM -> ServerSelector.random(random.split());
+                case LAGGED_LEAST, EXACT_LEAST -> ServerSelector.leastLoad(random.split());
+                default -> ServerSelector.boundedAffinity(1.25);
             };
         }
 
@@ -286,11 +286,11 @@
     }
 
     /** Chooses as {@code Placement} does: the first with a free slot, else the least loaded. */
-    private static int amongCandidates(final WorkerLoads loads, final int[] candidates) {
-        int chosen = WorkerChoice.NONE;
+    private static int amongCandidates(final ServerLoads loads, final int[] candidates) {
+        int chosen = ServerSelector.NONE;
         double least = Double.POSITIVE_INFINITY;
         for (final int candidate : candidates) {
-            if (candidate == WorkerChoice.NONE || loads.isExcluded(candidate)) {
+            if (candidate == ServerSelector.NONE || loads.isExcluded(candidate)) {
                 continue;
             }
             final double utilisation = loads.utilisation(candidate);
--- a/fennelstage-bench/src/main/java/org/fennelstage/bench/engine/PlayedRequest.java
+++ b/fennelstage-bench/src/main/java/org/fennelstage/bench/engine/PlayedRequest.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import java.util.OptionalInt;
 import java.util.SplittableRandom;
-import org.fennelstage.attempt.Pace;
+import org.fennelstage.attempt.LatencyEstimator;
 import org.fennelstage.fleet.TrackedServer;
 import org.fennelstage.id.ModelId;
 import org.fennelstage.placement.Job;
@@ -93,7 +93,7 @@
     }
 
     private Job job(final ModelId model) {
-        final Pace pace = vm.pace(model);
+        final LatencyEstimator pace = vm.pace(model);
         final Prompt prompt =
                 new Prompt(
                         List.of(
@@ -105,8 +105,8 @@
                 Optional.of(prompt),
                 Optional.of(model),
                 play.setup().policy().uses(Mechanism.MEMORY_AFFINITY),
-                pace.readMillisPerToken(),
-                pace.answerMillis());
+                pace.prefillMillisPerToken(),
+                pace.responseMillis());
     }
 
     private void onFirst(final double sent) {
--- a/fennelstage-bench/src/main/java/org/fennelstage/bench/engine/PlayedVm.java
+++ b/fennelstage-bench/src/main/java/org/fennelstage/bench/engine/PlayedVm.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import org.fennelstage.attempt.Pace;
+import org.fennelstage.attempt.LatencyEstimator;
 import org.fennelstage.fleet.Load;
 import org.fennelstage.fleet.LoadBoard;
 import org.fennelstage.fleet.Reachability;
@@ -33,7 +33,7 @@
     private final LoadBoard board;
     private final Placement placement;
     private final List<TrackedServer> servers;
-    private final Map<ModelId, Pace> paces = new HashMap<>();
+    private final Map<ModelId, LatencyEstimator> paces = new HashMap<>();
     private final Map<Kind, Opinions> opinions = new HashMap<>();
 
     PlayedVm(final Play play, final VmId id, final DataCentreId dataCentre, final long seed) {
@@ -68,8 +68,8 @@
         return servers;
     }
 
-    Pace pace(final ModelId model) {
-        return paces.computeIfAbsent(model, m -> new Pace());
+    LatencyEstimator pace(final ModelId model) {
+        return paces.computeIfAbsent(model, m -> new LatencyEstimator());
     }
 
     Opinions opinions(final Kind kind) {
--- a/fennelstage-core/src/main/java/org/fennelstage/attempt/UsualFailures.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/attempt/BaselineFailureRate.java
@@ -6,7 +6,7 @@
  * <p>Some requests fail wherever they run. Held against the worker that had them, they would take
  * one sound worker after the other out of use. Not thread-safe.
  */
-public final class UsualFailures {
+public final class BaselineFailureRate {
 
     /** Weight of one answer; about the last hundred count. */
     private static final double WEIGHT = 0.01;
@@ -18,7 +18,7 @@
      *
      * @param failed whether its worker said that it failed
      */
-    public void onAnswer(final boolean failed) {
+    public void onResponse(final boolean failed) {
         share += WEIGHT * ((failed ? 1 : 0) - share);
     }
 
--- a/fennelstage-core/src/main/java/org/fennelstage/attempt/Silence.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/attempt/Inactivity.java
@@ -12,13 +12,14 @@
  * in {@link #TOGETHER_MILLIS}, also for requests whose long prompt would be waited for several
  * seconds. Immutable and thread-safe.
  *
- * @param ownMillis time since the last byte of this request, or since it was sent
+ * @param requestMillis time since the last byte of this request, or since it was sent
  * @param serverMillis time since the last byte of the worker to this VM
  * @param stalledMillis how long all answers of the worker that had begun have been without a byte;
  *     zero if none has begun
- * @param begunAnswers how many answers of the worker have begun and not ended
+ * @param begunResponses how many answers of the worker have begun and not ended
  */
-public record Silence(long ownMillis, long serverMillis, long stalledMillis, int begunAnswers) {
+public record Inactivity(
+        long requestMillis, long serverMillis, long stalledMillis, int begunResponses) {
 
     /**
      * Silence of two or more begun answers together that speaks against their worker; milliseconds.
@@ -41,7 +42,7 @@
      */
     public boolean exceeds(final long patienceMillis) {
         final boolean stalledTogether =
-                begunAnswers >= ENOUGH_ANSWERS && stalledMillis >= TOGETHER_MILLIS;
-        return stalledTogether || Math.min(ownMillis, serverMillis) >= patienceMillis;
+                begunResponses >= ENOUGH_ANSWERS && stalledMillis >= TOGETHER_MILLIS;
+        return stalledTogether || Math.min(requestMillis, serverMillis) >= patienceMillis;
     }
 }
--- a/fennelstage-core/src/main/java/org/fennelstage/attempt/Pace.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/attempt/LatencyEstimator.java
@@ -6,7 +6,7 @@
  *
  * <p>Not thread-safe.
  */
-public final class Pace {
+public final class LatencyEstimator {
 
     /** Weight of one answer in the average; about the last twenty count. */
     private static final double WEIGHT = 0.05;
@@ -48,7 +48,7 @@
 
     private int answers;
     private double millisPerToken = FIRST_GUESS_MILLIS;
-    private double readMillisPerToken = FIRST_GUESS_MILLIS;
+    private double prefillMillisPerToken = FIRST_GUESS_MILLIS;
     private double answerMillis = FIRST_GUESS_ANSWER_MILLIS;
 
     /**
@@ -61,17 +61,18 @@
         final double observed = millis / (double) (promptTokens + FIXED_TOKENS);
         millisPerToken += WEIGHT * (observed - millisPerToken);
         answers++;
-        final double usual = observed < readMillisPerToken ? SOONER_WEIGHT : LATER_WEIGHT;
-        readMillisPerToken += Math.max(usual, 1.0 / answers) * (observed - readMillisPerToken);
+        final double usual = observed < prefillMillisPerToken ? SOONER_WEIGHT : LATER_WEIGHT;
+        prefillMillisPerToken +=
+                Math.max(usual, 1.0 / answers) * (observed - prefillMillisPerToken);
     }
 
     /**
-     * Tells whether enough answers were seen to rely on {@link #readMillisPerToken()}. Before, a
+     * Tells whether enough answers were seen to rely on {@link #prefillMillisPerToken()}. Before, a
      * caller must not be refused for the time that its prompt would take.
      *
      * @return true from the tenth answer on
      */
-    public boolean known() {
+    public boolean hasEnoughSamples() {
         return answers >= ANSWERS_TO_KNOW;
     }
 
@@ -89,8 +90,8 @@
      *
      * @return milliseconds
      */
-    public double readMillisPerToken() {
-        return readMillisPerToken;
+    public double prefillMillisPerToken() {
+        return prefillMillisPerToken;
     }
 
     /**
@@ -98,7 +99,7 @@
      *
      * @return milliseconds
      */
-    public double answerMillis() {
+    public double responseMillis() {
         return answerMillis;
     }
 
@@ -108,7 +109,7 @@
      * @param promptTokens the length of the prompt; zero for a plain service
      * @return milliseconds
      */
-    public long firstBytePatience(final int promptTokens) {
+    public long firstByteTimeoutMillis(final int promptTokens) {
         return FLOOR_MILLIS + (long) (FACTOR * millisPerToken * (promptTokens + FIXED_TOKENS));
     }
 
@@ -119,7 +120,7 @@
      *     if there is none
      * @return milliseconds
      */
-    public long nextBytePatience(final long maxPauseMillis) {
+    public long nextByteTimeoutMillis(final long maxPauseMillis) {
         return Math.max(FLOOR_MILLIS, maxPauseMillis);
     }
 }
--- a/fennelstage-core/src/main/java/org/fennelstage/attempt/RepeatBudget.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/attempt/WindowedRetryBudget.java
@@ -17,7 +17,7 @@
  * <p>Invariant: in any window, repeats are at most {@code ratio * requests + slack}. Not
  * thread-safe.
  */
-public final class RepeatBudget {
+public final class WindowedRetryBudget {
 
     /** Part of the allowed ratio that is used; the rest covers requests counted at its edges. */
     private static final double USED_SHARE = 0.8;
@@ -29,7 +29,7 @@
     private final Deque<Long> requests = new ArrayDeque<>();
     private final Deque<Long> repeats = new ArrayDeque<>();
 
-    private RepeatBudget(
+    private WindowedRetryBudget(
             final MonotonicClock clock,
             final long windowMillis,
             final double ratio,
@@ -49,13 +49,13 @@
      * @param slack gives the repeats beyond that which this VM may make now
      * @return the budget
      */
-    public static RepeatBudget of(
+    public static WindowedRetryBudget of(
             final MonotonicClock clock,
             final Duration window,
             final double ratio,
             final DoubleSupplier slack) {
         Objects.requireNonNull(clock, "clock is null");
-        return new RepeatBudget(clock, window.toMillis(), ratio * USED_SHARE, slack);
+        return new WindowedRetryBudget(clock, window.toMillis(), ratio * USED_SHARE, slack);
     }
 
     /** Notes a request's first attempt. */
@@ -69,7 +69,7 @@
      *
      * @return true if it may be made
      */
-    public boolean tryRepeat() {
+    public boolean tryRetry() {
         forget();
         if (repeats.size() + 1 > ratio * requests.size() + slack.getAsDouble()) {
             return false;
--- a/fennelstage-core/src/main/java/org/fennelstage/backend/Breaker.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/backend/Breaker.java
@@ -63,7 +63,7 @@
      * Notes that a request is about to be sent. An open breaker whose pause is over lets this one
      * through and no other until it ends.
      */
-    public synchronized void onTry() {
+    public synchronized void onAttempt() {
         if (failures >= FAILURES_TO_OPEN) {
             openUntilMillis = clock.millis() + PAUSE.toMillis();
         }
--- a/fennelstage-core/src/main/java/org/fennelstage/backend/WorkerLoads.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/backend/ServerLoads.java
@@ -8,7 +8,7 @@
  *
  * <p>Reused from choice to choice so that a choice allocates nothing. Not thread-safe.
  */
-public final class WorkerLoads {
+public final class ServerLoads {
 
     private final long[] hashes;
     private final int[] slots;
@@ -16,7 +16,7 @@
     private final boolean[] excluded;
     private long[] ranks = new long[0];
 
-    private WorkerLoads(final long[] hashes, final int[] slots) {
+    private ServerLoads(final long[] hashes, final int[] slots) {
         this.hashes = hashes;
         this.slots = slots;
         this.load = new int[slots.length];
@@ -29,7 +29,7 @@
      * @param servers the workers
      * @return the loads
      */
-    public static WorkerLoads of(final List<BackendServer> servers) {
+    public static ServerLoads of(final List<BackendServer> servers) {
         final long[] hashes = new long[servers.size()];
         final int[] slots = new int[servers.size()];
         for (int i = 0; i < hashes.length; i++) {
@@ -38,7 +38,7 @@
                     Hashing.komihash5_0().hashStream().putString(server.id().value()).getAsLong();
             slots[i] = server.slots();
         }
-        return new WorkerLoads(hashes, slots);
+        return new ServerLoads(hashes, slots);
     }
 
     /** Returns room for the ranks of the best workers, the same each time. */
--- a/fennelstage-core/src/main/java/org/fennelstage/backend/WorkerChoice.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/backend/ServerSelector.java
@@ -4,7 +4,7 @@
 
 /** Chooses a worker for a request. Implementations are stateless but for their random source. */
 @FunctionalInterface
-public interface WorkerChoice {
+public interface ServerSelector {
 
     /** No worker may be chosen. */
     int NONE = -1;
@@ -16,7 +16,7 @@
      * @param prefix the hash of the prompt's prefix
      * @return the worker's index, or {@link #NONE}
      */
-    int choose(WorkerLoads loads, long prefix);
+    int choose(ServerLoads loads, long prefix);
 
     /**
      * Any worker with equal chance.
@@ -24,7 +24,7 @@
      * @param random the source of chance
      * @return the choice
      */
-    static WorkerChoice random(final RandomGenerator random) {
+    static ServerSelector random(final RandomGenerator random) {
         return (loads, prefix) -> {
             int seen = 0;
             int chosen = NONE;
@@ -43,7 +43,7 @@
      * @param random the source of chance
      * @return the choice
      */
-    static WorkerChoice leastLoad(final RandomGenerator random) {
+    static ServerSelector leastLoad(final RandomGenerator random) {
         return (loads, prefix) -> {
             int ties = 0;
             int chosen = NONE;
@@ -73,7 +73,7 @@
      * @param bound how far above the mean a worker may be loaded; above 1
      * @return the choice
      */
-    static WorkerChoice boundedAffinity(final double bound) {
+    static ServerSelector boundedAffinity(final double bound) {
         return (loads, prefix) -> {
             int candidates = 0;
             double sum = 0;
@@ -116,7 +116,7 @@
      * @param best receives their indexes, highest affinity first, {@link #NONE} where there are
      *     fewer
      */
-    static void firstByAffinity(final WorkerLoads loads, final long prefix, final int[] best) {
+    static void firstByAffinity(final ServerLoads loads, final long prefix, final int[] best) {
         java.util.Arrays.fill(best, NONE);
         final long[] ranks = loads.ranks(best.length);
         int found = 0;
--- a/fennelstage-core/src/main/java/org/fennelstage/canary/Canary.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/canary/Canary.java
@@ -5,7 +5,7 @@
 import java.util.Objects;
 import java.util.Optional;
 import java.util.Set;
-import org.fennelstage.canary.VersionChoice.Ground;
+import org.fennelstage.canary.VersionChoice.Reason;
 import org.fennelstage.history.Position;
 import org.fennelstage.id.BackendServerId;
 import org.fennelstage.member.Rendezvous;
@@ -93,7 +93,7 @@
      *
      * @param version the version
      */
-    public void onUnordered(final String version) {
+    public void onVersionWithoutOrder(final String version) {
         final boolean superseded = order.isPresent() && completed();
         final boolean ordered = isTarget(version) || told.contains(version);
         if (!superseded && !ordered && !bad.contains(version)) {
@@ -191,7 +191,7 @@
     }
 
     /** Notes that the store has come back from an older copy. */
-    public void onStoreReplaced() {
+    public void onStoreRestored() {
         inStore = false;
         copyDoubted = true;
     }
@@ -290,19 +290,19 @@
      */
     public VersionChoice choose(final Optional<String> session, final String request) {
         if (!running()) {
-            return new VersionChoice(false, Ground.NO_ROLLOUT);
+            return new VersionChoice(false, Reason.NO_ROLLOUT);
         }
         final CanaryPlan plan = plan();
         final Duration elapsed = elapsed();
         if (plan.moving(elapsed)) {
-            return new VersionChoice(true, Ground.LAST_PART);
+            return new VersionChoice(true, Reason.LAST_PART);
         }
         if (session.isEmpty()) {
-            return new VersionChoice(draw(request) < plan.share(elapsed), Ground.DRAWN);
+            return new VersionChoice(draw(request) < plan.share(elapsed), Reason.DRAWN);
         }
         return plan.sessionsJoin(elapsed)
-                ? new VersionChoice(draw(session.get()) < plan.sessionShare(elapsed), Ground.DRAWN)
-                : new VersionChoice(false, Ground.SESSIONS_STAY);
+                ? new VersionChoice(draw(session.get()) < plan.sessionShare(elapsed), Reason.DRAWN)
+                : new VersionChoice(false, Reason.SESSIONS_STAY);
     }
 
     /**
@@ -313,7 +313,7 @@
      * @param failed whether the worker said that it failed
      * @param paceMillis the time per event, or for the whole answer; not positive if not known
      */
-    public void onAnswer(
+    public void onResponse(
             final BackendServerId server,
             final String version,
             final boolean failed,
@@ -333,7 +333,7 @@
      *
      * @return the phase to write, empty if nothing is to be written
      */
-    public Optional<RolloutPhase> due() {
+    public Optional<RolloutPhase> phaseToWrite() {
         if (order.isEmpty() || order.get().phase().ended() || !inStore) {
             return Optional.empty();
         }
@@ -361,7 +361,7 @@
      *
      * @return true if so
      */
-    public boolean repeats() {
+    public boolean rewritesLostPhase() {
         return verdict.isPresent();
     }
 
--- a/fennelstage-core/src/main/java/org/fennelstage/canary/VersionChoice.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/canary/VersionChoice.java
@@ -8,12 +8,12 @@
  * <p>Immutable and thread-safe.
  *
  * @param toNew whether it is the version under roll-out
- * @param ground what decided it
+ * @param reason what decided it
  */
-public record VersionChoice(boolean toNew, Ground ground) {
+public record VersionChoice(boolean toNew, Reason reason) {
 
     /** What decides on a version. */
-    public enum Ground {
+    public enum Reason {
         /** No roll-out is running here: none was ordered, or it ended or was halted. */
         NO_ROLLOUT,
         /** The last part of the roll-out, in which all traffic moves. */
@@ -25,6 +25,6 @@
     }
 
     public VersionChoice {
-        Objects.requireNonNull(ground, "ground is null");
+        Objects.requireNonNull(reason, "reason is null");
     }
 }
--- a/fennelstage-core/src/main/java/org/fennelstage/crash/Acquittal.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/crash/ClearedCrashes.java
@@ -11,9 +11,9 @@
  * @param content the request
  * @param servers the ends that count no longer against it
  */
-public record Acquittal(Fingerprint content, Set<Incarnation> servers) {
+public record ClearedCrashes(Fingerprint content, Set<Incarnation> servers) {
 
-    public Acquittal {
+    public ClearedCrashes {
         Objects.requireNonNull(content, "content is null");
         servers = Set.copyOf(servers);
     }
--- a/fennelstage-core/src/main/java/org/fennelstage/crash/CrashLedger.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/crash/CrashLedger.java
@@ -28,7 +28,7 @@
      * Workers that may end under a request before it is refused. Two may be bad luck: in a wave of
      * crashes some requests are sent from one worker that ends to another.
      */
-    public static final int MOST_CRASHES = 3;
+    public static final int MAX_CRASHES = 3;
 
     /** How long an end is remembered; milliseconds. */
     static final long LIFETIME_MILLIS = 600_000;
@@ -84,7 +84,7 @@
      * @param content the request
      * @return the ends that are cleared by it, for the other VMs; none if none counted
      */
-    public Set<Incarnation> onAnswered(final Fingerprint content) {
+    public Set<Incarnation> onResponse(final Fingerprint content) {
         final Map<Incarnation, Mark> known = marks.get(content);
         if (known == null) {
             return Set.of();
@@ -96,7 +96,7 @@
                         cleared.add(server);
                     }
                 });
-        clear(new Acquittal(content, cleared));
+        clear(new ClearedCrashes(content, cleared));
         return cleared;
     }
 
@@ -105,7 +105,7 @@
      *
      * @param acquittal which ends count no longer
      */
-    public void clear(final Acquittal acquittal) {
+    public void clear(final ClearedCrashes acquittal) {
         if (acquittal.servers().isEmpty()) {
             return;
         }
--- a/fennelstage-core/src/main/java/org/fennelstage/crash/Quarantine.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/crash/Quarantine.java
@@ -66,7 +66,7 @@
      * @param content the request
      * @return the time, empty if it is not refused
      */
-    public Optional<Duration> left(final Fingerprint content) {
+    public Optional<Duration> remaining(final Fingerprint content) {
         return Optional.ofNullable(sinceMillis.get(content))
                 .map(since -> LIFETIME.minusMillis(clock.millis() - since))
                 .filter(left -> !left.isNegative());
@@ -77,7 +77,7 @@
      *
      * @return the requests
      */
-    public List<Fingerprint> takeExpired() {
+    public List<Fingerprint> removeExpired() {
         final List<Fingerprint> expired = new ArrayList<>();
         sinceMillis.forEach(
                 (content, since) -> {
--- a/fennelstage-core/src/main/java/org/fennelstage/crash/BrokenRuns.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/crash/SuspectedCrashes.java
@@ -14,19 +14,19 @@
  * <p>Meanwhile each counts as an end: a request that comes again within these milliseconds would
  * end one worker more than it may. Not thread-safe.
  */
-public final class BrokenRuns {
+public final class SuspectedCrashes {
 
     private final Map<Incarnation, Set<Fingerprint>> pending = new HashMap<>();
 
-    private BrokenRuns() {}
+    private SuspectedCrashes() {}
 
     /**
      * Returns an empty collection.
      *
      * @return the collection
      */
-    public static BrokenRuns empty() {
-        return new BrokenRuns();
+    public static SuspectedCrashes empty() {
+        return new SuspectedCrashes();
     }
 
     /**
@@ -66,6 +66,6 @@
 
     @Override
     public String toString() {
-        return "BrokenRuns[" + pending.size() + "]";
+        return "SuspectedCrashes[" + pending.size() + "]";
     }
 }
--- a/fennelstage-core/src/main/java/org/fennelstage/serving/Route.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/serving/Route.java
@@ -62,7 +62,7 @@
      *
      * @return true for idempotent requests and for streams that may be resumed
      */
-    public boolean repeatable() {
+    public boolean retryable() {
         return kind == RouteKind.IDEMPOTENT || (kind == RouteKind.STREAM && resumable);
     }
 
@@ -90,7 +90,7 @@
      * @param team the rank of its team, empty if it has none
      * @return the team's rank if there is one, else the route's
      */
-    public int rank(final OptionalInt team) {
+    public int effectivePriority(final OptionalInt team) {
         return team.orElse(priority);
     }
 }
--- a/fennelstage-core/src/main/java/org/fennelstage/sizing/SizePlan.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/sizing/SizePlan.java
@@ -73,7 +73,7 @@
     public static SizePlan of(final Route route, final Opinions opinions, final Policy policy) {
         Objects.requireNonNull(opinions, "opinions is null");
         final List<ModelId> sizes = route.sizes();
-        final boolean smallFirst = route.repeatable() && policy.uses(Mechanism.SMALL_FIRST);
+        final boolean smallFirst = route.retryable() && policy.uses(Mechanism.SMALL_FIRST);
         return new SizePlan(
                 sizes,
                 opinions,
--- a/fennelstage-core/src/test/java/org/fennelstage/attempt/SilenceTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/attempt/InactivityTest.java
@@ -4,19 +4,19 @@
 
 import org.junit.jupiter.api.Test;
 
-class SilenceTest {
+class InactivityTest {
 
     private static final long PATIENCE = 5_000;
 
     @Test
     void aWorkerThatGivesOthersTheirBytesIsOnlyBusy() {
-        assertThat(new Silence(9_000, 40, 40, 3).exceeds(PATIENCE)).isFalse();
+        assertThat(new Inactivity(9_000, 40, 40, 3).exceeds(PATIENCE)).isFalse();
     }
 
     @Test
     void aWorkerThatIsSilentToAllForAsLongAsSuchAnAnswerTakesIsGivenUp() {
-        assertThat(new Silence(5_000, 5_000, 0, 0).exceeds(PATIENCE)).isTrue();
-        assertThat(new Silence(5_000, 4_999, 0, 0).exceeds(PATIENCE)).isFalse();
+        assertThat(new Inactivity(5_000, 5_000, 0, 0).exceeds(PATIENCE)).isTrue();
+        assertThat(new Inactivity(5_000, 4_999, 0, 0).exceeds(PATIENCE)).isFalse();
     }
 
     /**
@@ -27,13 +27,14 @@
      */
     @Test
     void answersThatStopTogetherSpeakAgainstTheirWorkerForAllThatWaitThere() {
-        final Silence waiting = new Silence(800, 700, Silence.TOGETHER_MILLIS, 2);
+        final Inactivity waiting = new Inactivity(800, 700, Inactivity.TOGETHER_MILLIS, 2);
         assertThat(waiting.exceeds(PATIENCE)).isTrue();
     }
 
     @Test
     void aSingleAnswerThatStandsStillSpeaksOnlyForItself() {
-        assertThat(new Silence(800, 700, Silence.TOGETHER_MILLIS, 1).exceeds(PATIENCE)).isFalse();
-        assertThat(new Silence(1_200, 1_200, 1_200, 1).exceeds(1_200)).isTrue();
+        assertThat(new Inactivity(800, 700, Inactivity.TOGETHER_MILLIS, 1).exceeds(PATIENCE))
+                .isFalse();
+        assertThat(new Inactivity(1_200, 1_200, 1_200, 1).exceeds(1_200)).isTrue();
     }
 }
--- a/fennelstage-core/src/test/java/org/fennelstage/attempt/PaceTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/attempt/LatencyEstimatorTest.java
@@ -4,9 +4,9 @@
 
 import org.junit.jupiter.api.Test;
 
-class PaceTest {
+class LatencyEstimatorTest {
 
-    private final Pace pace = new Pace();
+    private final LatencyEstimator pace = new LatencyEstimator();
 
     /**
      * Symptom: callers wait for as long as they can for a worker without power. Cause: only the
@@ -17,7 +17,7 @@
         for (int i = 0; i < 200; i++) {
             pace.onFirstByte(50, 500);
         }
-        assertThat(pace.firstBytePatience(500)).isBetween(700L, 1_000L);
+        assertThat(pace.firstByteTimeoutMillis(500)).isBetween(700L, 1_000L);
     }
 
     @Test
@@ -25,13 +25,13 @@
         for (int i = 0; i < 200; i++) {
             pace.onFirstByte(50, 500);
         }
-        assertThat(pace.firstBytePatience(50_000)).isGreaterThan(8_000L);
+        assertThat(pace.firstByteTimeoutMillis(50_000)).isGreaterThan(8_000L);
     }
 
     @Test
     void withinAnAnswerThePauseThatStillCountsAsInTimeIsBorne() {
-        assertThat(pace.nextBytePatience(1_000)).isEqualTo(1_000);
-        assertThat(pace.nextBytePatience(0)).isEqualTo(700);
+        assertThat(pace.nextByteTimeoutMillis(1_000)).isEqualTo(1_000);
+        assertThat(pace.nextByteTimeoutMillis(0)).isEqualTo(700);
     }
 
     /**
@@ -40,11 +40,11 @@
      */
     @Test
     void theTimeToReadIsKnownOnlyAfterSomeAnswers() {
-        assertThat(pace.known()).isFalse();
+        assertThat(pace.hasEnoughSamples()).isFalse();
         for (int i = 0; i < 10; i++) {
             pace.onFirstByte(50, 500);
         }
-        assertThat(pace.known()).isTrue();
+        assertThat(pace.hasEnoughSamples()).isTrue();
     }
 
     @Test
@@ -52,6 +52,6 @@
         for (int i = 0; i < 300; i++) {
             pace.onFirstByte(i % 2 == 0 ? 50 : 2_000, 500);
         }
-        assertThat(pace.readMillisPerToken()).isBetween(0.05, 0.4);
+        assertThat(pace.prefillMillisPerToken()).isBetween(0.05, 0.4);
     }
 }
--- a/fennelstage-core/src/test/java/org/fennelstage/attempt/RepeatBudgetTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/attempt/WindowedRetryBudgetTest.java
@@ -9,7 +9,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-class RepeatBudgetTest {
+class WindowedRetryBudgetTest {
 
     private static final Duration WINDOW = Duration.ofSeconds(10);
 
@@ -17,19 +17,19 @@
 
     @Test
     void withoutRequestsOnlyTheSlackMayBeRepeated() {
-        final RepeatBudget budget = RepeatBudget.of(now::get, WINDOW, 0.9, () -> 2);
-        assertThat(budget.tryRepeat()).isTrue();
-        assertThat(budget.tryRepeat()).isTrue();
-        assertThat(budget.tryRepeat()).isFalse();
+        final WindowedRetryBudget budget = WindowedRetryBudget.of(now::get, WINDOW, 0.9, () -> 2);
+        assertThat(budget.tryRetry()).isTrue();
+        assertThat(budget.tryRetry()).isTrue();
+        assertThat(budget.tryRetry()).isFalse();
     }
 
     @Test
     void repeatsOlderThanTheWindowNoLongerCount() {
-        final RepeatBudget budget = RepeatBudget.of(now::get, WINDOW, 0.9, () -> 1);
-        assertThat(budget.tryRepeat()).isTrue();
-        assertThat(budget.tryRepeat()).isFalse();
+        final WindowedRetryBudget budget = WindowedRetryBudget.of(now::get, WINDOW, 0.9, () -> 1);
+        assertThat(budget.tryRetry()).isTrue();
+        assertThat(budget.tryRetry()).isFalse();
         now.addAndGet(WINDOW.toMillis() + 1);
-        assertThat(budget.tryRepeat()).isTrue();
+        assertThat(budget.tryRetry()).isTrue();
     }
 
     /**
@@ -40,11 +40,12 @@
     void repeatsInAnyWindowStayWithinTheRatioOfItsRequestsAndTheSlack(
             @ForAll @IntRange(min = 0, max = 400) final int requests,
             @ForAll @IntRange(min = 0, max = 10) final int slack) {
-        final RepeatBudget budget = RepeatBudget.of(now::get, WINDOW, 0.5, () -> slack);
+        final WindowedRetryBudget budget =
+                WindowedRetryBudget.of(now::get, WINDOW, 0.5, () -> slack);
         int repeats = 0;
         for (int i = 0; i < requests; i++) {
             budget.onRequest();
-            repeats += budget.tryRepeat() ? 1 : 0;
+            repeats += budget.tryRetry() ? 1 : 0;
         }
         assertThat(repeats).isLessThanOrEqualTo((int) (0.5 * requests) + slack);
     }
--- a/fennelstage-core/src/test/java/org/fennelstage/backend/BreakerTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/backend/BreakerTest.java
@@ -34,7 +34,7 @@
         breaker.onFailure();
         now = now.plusSeconds(3);
         assertThat(breaker.isClosed()).isTrue();
-        breaker.onTry();
+        breaker.onAttempt();
         assertThat(breaker.isClosed()).isFalse();
     }
 }
--- a/fennelstage-core/src/test/java/org/fennelstage/backend/WorkerChoiceTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/backend/ServerSelectorTest.java
@@ -12,20 +12,20 @@
 import org.fennelstage.id.VersionId;
 import org.junit.jupiter.api.Test;
 
-class WorkerChoiceTest {
+class ServerSelectorTest {
 
-    private final WorkerLoads loads = WorkerLoads.of(servers(13));
+    private final ServerLoads loads = ServerLoads.of(servers(13));
 
     @Test
     void noChoiceTakesAnExcludedWorker() {
         for (int i = 0; i < loads.size(); i++) {
             loads.set(i, 0, true);
         }
-        for (final WorkerChoice choice : all()) {
-            assertThat(choice.choose(loads, 1)).isEqualTo(WorkerChoice.NONE);
+        for (final ServerSelector choice : all()) {
+            assertThat(choice.choose(loads, 1)).isEqualTo(ServerSelector.NONE);
         }
         loads.set(4, 100, false);
-        for (final WorkerChoice choice : all()) {
+        for (final ServerSelector choice : all()) {
             assertThat(choice.choose(loads, 1)).isEqualTo(4);
         }
     }
@@ -35,12 +35,12 @@
         for (int i = 0; i < loads.size(); i++) {
             loads.set(i, i == 7 ? 0 : 3, false);
         }
-        assertThat(WorkerChoice.leastLoad(new SplittableRandom(1)).choose(loads, 5)).isEqualTo(7);
+        assertThat(ServerSelector.leastLoad(new SplittableRandom(1)).choose(loads, 5)).isEqualTo(7);
     }
 
     @Test
     void boundedAffinitySendsOnePrefixToOneWorkerWhileItIsNotOverloaded() {
-        final WorkerChoice choice = WorkerChoice.boundedAffinity(1.25);
+        final ServerSelector choice = ServerSelector.boundedAffinity(1.25);
         final int first = choice.choose(loads, 99);
         assertThat(IntStream.range(0, 20).map(i -> choice.choose(loads, 99))).containsOnly(first);
     }
@@ -48,7 +48,7 @@
     /** A popular prefix must not queue at its worker while others are idle. */
     @Test
     void boundedAffinityLeavesAnOverloadedWorker() {
-        final WorkerChoice choice = WorkerChoice.boundedAffinity(1.25);
+        final ServerSelector choice = ServerSelector.boundedAffinity(1.25);
         final int first = choice.choose(loads, 99);
         for (int i = 0; i < loads.size(); i++) {
             loads.set(i, i == first ? 8 : 2, false);
@@ -62,7 +62,7 @@
             final long key = prefix;
             final int[] best = new int[4];
             loads.set(3, 0, true);
-            WorkerChoice.firstByAffinity(loads, key, best);
+            ServerSelector.firstByAffinity(loads, key, best);
             final List<Integer> expected =
                     IntStream.range(0, loads.size())
                             .filter(i -> i != 3)
@@ -80,16 +80,16 @@
     @Test
     void firstByAffinityLeavesPlacesEmptyWhereThereAreFewerWorkers() {
         final int[] best = new int[4];
-        WorkerChoice.firstByAffinity(WorkerLoads.of(servers(2)), 1, best);
-        assertThat(best[2]).isEqualTo(WorkerChoice.NONE);
-        assertThat(best[3]).isEqualTo(WorkerChoice.NONE);
+        ServerSelector.firstByAffinity(ServerLoads.of(servers(2)), 1, best);
+        assertThat(best[2]).isEqualTo(ServerSelector.NONE);
+        assertThat(best[3]).isEqualTo(ServerSelector.NONE);
     }
 
-    private static List<WorkerChoice> all() {
+    private static List<ServerSelector> all() {
         return List.of(
-                WorkerChoice.random(new SplittableRandom(1)),
-                WorkerChoice.leastLoad(new SplittableRandom(1)),
-                WorkerChoice.boundedAffinity(1.25));
+                ServerSelector.random(new SplittableRandom(1)),
+                ServerSelector.leastLoad(new SplittableRandom(1)),
+                ServerSelector.boundedAffinity(1.25));
     }
 
     private static List<BackendServer> servers(final int count) {
--- a/fennelstage-core/src/test/java/org/fennelstage/canary/CanaryTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/canary/CanaryTest.java
@@ -47,13 +47,13 @@
     }
 
     private void begin() {
-        canary.onUnordered("v1");
+        canary.onVersionWithoutOrder("v1");
         canary.onOrder(order(RolloutPhase.ORDERED, 1), Duration.ZERO);
     }
 
     @Test
     void aVersionThatMayBelongToAnUnknownOrderGetsNothing() {
-        canary.onUnordered("v1");
+        canary.onVersionWithoutOrder("v1");
         assertThat(canary.admits("v1", false)).isTrue();
         assertThat(canary.admits("v2", false)).isFalse();
     }
@@ -83,16 +83,16 @@
         begin();
         now.addAndGet(DURATION.toMillis() - 300);
         assertThat(toNew("any")).isTrue();
-        assertThat(canary.due()).contains(RolloutPhase.COMPLETED);
+        assertThat(canary.phaseToWrite()).contains(RolloutPhase.COMPLETED);
     }
 
     @Test
     void twoFailuresInARowAtTwoWorkersEndTheRolloutHereAtOnce() {
         begin();
         for (int i = 0; i < 2; i++) {
-            canary.onAnswer(worker(i), "v2", true, 0);
+            canary.onResponse(worker(i), "v2", true, 0);
         }
-        assertThat(canary.due()).contains(RolloutPhase.ROLLED_BACK);
+        assertThat(canary.phaseToWrite()).contains(RolloutPhase.ROLLED_BACK);
         now.addAndGet(DURATION.toMillis());
         assertThat(toNew("any")).isFalse();
     }
@@ -105,24 +105,24 @@
     void goodAnswersGivenEarlyDoNotHideAVersionThatTurnsBad() {
         begin();
         for (int i = 0; i < 500; i++) {
-            canary.onAnswer(worker(i), "v2", false, 0);
+            canary.onResponse(worker(i), "v2", false, 0);
         }
         for (int i = 0; i < 4; i++) {
-            canary.onAnswer(worker(i), "v2", true, 0);
+            canary.onResponse(worker(i), "v2", true, 0);
         }
-        assertThat(canary.due()).contains(RolloutPhase.ROLLED_BACK);
+        assertThat(canary.phaseToWrite()).contains(RolloutPhase.ROLLED_BACK);
     }
 
     @Test
     void aVersionEightTimesSlowerThanTheOldOneIsBad() {
         begin();
         for (int i = 0; i < 20; i++) {
-            canary.onAnswer(worker(i), "v1", false, 50);
+            canary.onResponse(worker(i), "v1", false, 50);
         }
         for (int i = 0; i < 3; i++) {
-            canary.onAnswer(worker(i), "v2", false, 400);
+            canary.onResponse(worker(i), "v2", false, 400);
         }
-        assertThat(canary.due()).contains(RolloutPhase.ROLLED_BACK);
+        assertThat(canary.phaseToWrite()).contains(RolloutPhase.ROLLED_BACK);
     }
 
     /**
@@ -133,19 +133,19 @@
     void failuresOfOneWorkerAloneDoNotEndTheRollout() {
         begin();
         for (int i = 0; i < 20; i++) {
-            canary.onAnswer(worker(1), "v2", true, 0);
+            canary.onResponse(worker(1), "v2", true, 0);
         }
-        assertThat(canary.due()).contains(RolloutPhase.IN_PROGRESS);
+        assertThat(canary.phaseToWrite()).contains(RolloutPhase.IN_PROGRESS);
     }
 
     @Test
     void failuresThatTheOldVersionHasAsOftenDoNotEndTheRollout() {
         begin();
         for (int i = 0; i < 400; i++) {
-            canary.onAnswer(worker(i), "v1", i % 7 == 0, 0);
-            canary.onAnswer(worker(i), "v2", i % 7 == 0, 0);
+            canary.onResponse(worker(i), "v1", i % 7 == 0, 0);
+            canary.onResponse(worker(i), "v2", i % 7 == 0, 0);
         }
-        assertThat(canary.due()).contains(RolloutPhase.IN_PROGRESS);
+        assertThat(canary.phaseToWrite()).contains(RolloutPhase.IN_PROGRESS);
     }
 
     /**
@@ -212,7 +212,7 @@
 
     private Canary startVm(final long elapsedMillis) {
         final Canary vm = Canary.of(now::get, SHARE);
-        vm.onUnordered("v1");
+        vm.onVersionWithoutOrder("v1");
         vm.onOrder(order(RolloutPhase.IN_PROGRESS, 1), Duration.ofMillis(elapsedMillis));
         return vm;
     }
@@ -253,7 +253,7 @@
         begin();
         assertThat(canary.admits("v2", true)).isTrue();
         for (int i = 0; i < 2; i++) {
-            canary.onAnswer(worker(i), "v2", true, 0);
+            canary.onResponse(worker(i), "v2", true, 0);
         }
         assertThat(canary.admits("v2", true)).isFalse();
     }
@@ -262,7 +262,7 @@
     void afterACompletionOnlyTheTargetGetsRequests() {
         begin();
         canary.onOrder(order(RolloutPhase.COMPLETED, 2), DURATION);
-        canary.onUnordered("v1");
+        canary.onVersionWithoutOrder("v1");
         assertThat(canary.admits("v2", toNew("any"))).isTrue();
         assertThat(canary.admits("v1", toNew("any"))).isFalse();
     }
@@ -276,7 +276,7 @@
         begin();
         canary.onOrder(order(RolloutPhase.COMPLETED, 3), DURATION);
         canary.onOrder(order(RolloutPhase.IN_PROGRESS, 2), Duration.ZERO);
-        assertThat(canary.due()).isEmpty();
+        assertThat(canary.phaseToWrite()).isEmpty();
         assertThat(canary.admits("v2", false)).isTrue();
     }
 
@@ -284,7 +284,7 @@
     void afterARollBackTheTargetGetsNothing() {
         begin();
         canary.onOrder(order(RolloutPhase.ROLLED_BACK, 2), DURATION);
-        canary.onUnordered("v2");
+        canary.onVersionWithoutOrder("v2");
         assertThat(canary.admits("v2", false)).isFalse();
         assertThat(canary.admits("v1", toNew("any"))).isTrue();
     }
@@ -295,9 +295,9 @@
      */
     @Test
     void aVmThatStartsInTheMiddleGoesOnFromTheTimePassed() {
-        canary.onUnordered("v1");
+        canary.onVersionWithoutOrder("v1");
         canary.onOrder(order(RolloutPhase.IN_PROGRESS, 2), Duration.ofMillis(23_800));
-        assertThat(canary.due()).contains(RolloutPhase.COMPLETED);
+        assertThat(canary.phaseToWrite()).contains(RolloutPhase.COMPLETED);
     }
 
     private static RolloutOrder begunOrder(final long revision) {
@@ -345,7 +345,7 @@
 
     @Test
     void theAgeOfAnotherOrderOrOfAnEarlierOneForTheSameVersionChangesNothing() {
-        canary.onUnordered("v1");
+        canary.onVersionWithoutOrder("v1");
         canary.onOrder(order(RolloutPhase.ORDERED, 10), Duration.ZERO);
         canary.onAge(new RolloutAge(ServiceName.of("models"), "v2", Position.of(0, 9), 12_000));
         canary.onAge(new RolloutAge(ServiceName.of("models"), "v3", Position.of(0, 11), 12_000));
@@ -373,12 +373,12 @@
      */
     @Test
     void anOrderOfALaterEraCountsAtALowerRevision() {
-        canary.onUnordered("v1");
+        canary.onVersionWithoutOrder("v1");
         hear(order("v2", RolloutPhase.COMPLETED, 1, 100));
-        canary.onStoreReplaced();
+        canary.onStoreRestored();
         hear(order("v3", RolloutPhase.ORDERED, 2, 70));
         assertThat(canary.admits("v3", true)).isTrue();
-        assertThat(canary.due()).contains(RolloutPhase.IN_PROGRESS);
+        assertThat(canary.phaseToWrite()).contains(RolloutPhase.IN_PROGRESS);
     }
 
     /**
@@ -389,15 +389,15 @@
     void aHaltThatTheStoreLostStaysAndIsDueOnceTheStoreSpeaksOfTheOrder() {
         begin();
         hear(order("v2", RolloutPhase.ROLLED_BACK, 0, 9));
-        canary.onStoreReplaced();
-        assertThat(canary.due()).isEmpty();
+        canary.onStoreRestored();
+        assertThat(canary.phaseToWrite()).isEmpty();
         assertThat(canary.age()).isPresent();
         hear(order("v2", RolloutPhase.IN_PROGRESS, 1, 5));
         assertThat(canary.admits("v2", true)).isFalse();
-        assertThat(canary.due()).contains(RolloutPhase.ROLLED_BACK);
-        assertThat(canary.repeats()).isTrue();
+        assertThat(canary.phaseToWrite()).contains(RolloutPhase.ROLLED_BACK);
+        assertThat(canary.rewritesLostPhase()).isTrue();
         hear(order("v2", RolloutPhase.ROLLED_BACK, 1, 6));
-        assertThat(canary.due()).isEmpty();
+        assertThat(canary.phaseToWrite()).isEmpty();
         assertThat(canary.age()).isEmpty();
     }
 
@@ -405,7 +405,7 @@
     void aVersionHaltedInAFormerEraRunsOnANewOrderGivenAfterItsHaltIsInTheStoreAgain() {
         begin();
         hear(order("v2", RolloutPhase.ROLLED_BACK, 0, 9));
-        canary.onStoreReplaced();
+        canary.onStoreRestored();
         hear(order("v2", RolloutPhase.IN_PROGRESS, 1, 5));
         hear(order("v2", RolloutPhase.ROLLED_BACK, 1, 6));
         hear(order("v2", RolloutPhase.ORDERED, 1, 7));
@@ -420,12 +420,12 @@
     void aCompletionThatTheStoreLostStaysAndIsDue() {
         begin();
         hear(order("v2", RolloutPhase.COMPLETED, 0, 9));
-        canary.onStoreReplaced();
+        canary.onStoreRestored();
         hear(order("v2", RolloutPhase.IN_PROGRESS, 1, 5));
         assertThat(canary.admits("v2", false)).isTrue();
         assertThat(toNew("any")).isFalse();
-        assertThat(canary.due()).contains(RolloutPhase.COMPLETED);
-        canary.onUnordered("v1");
+        assertThat(canary.phaseToWrite()).contains(RolloutPhase.COMPLETED);
+        canary.onVersionWithoutOrder("v1");
         assertThat(canary.admits("v1", false)).isFalse();
     }
 
@@ -435,15 +435,15 @@
         hear(order("v1", RolloutPhase.COMPLETED, 1, 10));
         hear(order("v2", RolloutPhase.ORDERED, 1, 80));
         now.addAndGet(5_000);
-        canary.onStoreReplaced();
+        canary.onStoreRestored();
         hear(order("v1", RolloutPhase.COMPLETED, 2, 10));
         hear(order("v1", RolloutPhase.IN_PROGRESS, 2, 11));
         assertThat(canary.admits("v2", true)).isTrue();
         assertThat(canary.elapsed()).hasMillis(5_000);
-        assertThat(canary.due()).isEmpty();
+        assertThat(canary.phaseToWrite()).isEmpty();
         hear(order("v2", RolloutPhase.ORDERED, 2, 15));
         assertThat(canary.elapsed()).hasMillis(5_000);
-        assertThat(canary.due()).contains(RolloutPhase.IN_PROGRESS);
+        assertThat(canary.phaseToWrite()).contains(RolloutPhase.IN_PROGRESS);
     }
 
     /**
@@ -453,8 +453,8 @@
      */
     @Test
     void aVersionOfWhichAnotherVmTellsIsNotTakenForOneInUse() {
-        canary.onUnordered("v1");
-        canary.onUnordered("v2");
+        canary.onVersionWithoutOrder("v1");
+        canary.onVersionWithoutOrder("v2");
         canary.onAge(new RolloutAge(ServiceName.of("models"), "v2", Position.of(1, 9), 4_000));
         assertThat(canary.admits("v2", false)).isFalse();
         assertThat(canary.admits("v1", false)).isTrue();
--- a/fennelstage-core/src/test/java/org/fennelstage/crash/CrashLedgerTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/crash/CrashLedgerTest.java
@@ -50,15 +50,15 @@
     void anAnswerClearsARequestOfTheEndsBeforeIt() {
         ledger.onCrash(CONTENT, server(1));
         ledger.onCrash(CONTENT, server(2));
-        assertThat(ledger.onAnswered(CONTENT)).containsOnly(server(1), server(2));
+        assertThat(ledger.onResponse(CONTENT)).containsOnly(server(1), server(2));
         assertThat(ledger.onCrash(CONTENT, server(3))).isEqualTo(1);
-        assertThat(ledger.onAnswered(CONTENT)).containsOnly(server(3));
-        assertThat(ledger.onAnswered(CONTENT)).isEmpty();
+        assertThat(ledger.onResponse(CONTENT)).containsOnly(server(3));
+        assertThat(ledger.onResponse(CONTENT)).isEmpty();
     }
 
     @Test
     void anEndThatWasClearedCountsNoMoreWhenItsReportComesLate() {
-        ledger.clear(new Acquittal(CONTENT, Set.of(server(1))));
+        ledger.clear(new ClearedCrashes(CONTENT, Set.of(server(1))));
         assertThat(ledger.onCrash(CONTENT, server(1))).isZero();
     }
 
@@ -75,7 +75,7 @@
         if (message % 2 == 0) {
             by.onCrash(CONTENT, about);
         } else {
-            by.clear(new Acquittal(CONTENT, Set.of(about)));
+            by.clear(new ClearedCrashes(CONTENT, Set.of(about)));
         }
     }
 
--- a/fennelstage-core/src/test/java/org/fennelstage/crash/QuarantineTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/crash/QuarantineTest.java
@@ -18,12 +18,12 @@
         assertThat(quarantine.add(CONTENT)).isTrue();
         now.addAndGet(1_000);
         assertThat(quarantine.add(CONTENT)).isFalse();
-        assertThat(quarantine.left(CONTENT))
+        assertThat(quarantine.remaining(CONTENT))
                 .contains(Quarantine.LIFETIME.minus(Duration.ofSeconds(1)));
-        assertThat(quarantine.takeExpired()).isEmpty();
+        assertThat(quarantine.removeExpired()).isEmpty();
         now.addAndGet(Quarantine.LIFETIME.toMillis());
-        assertThat(quarantine.left(CONTENT)).isEmpty();
-        assertThat(quarantine.takeExpired()).containsExactly(CONTENT);
+        assertThat(quarantine.remaining(CONTENT)).isEmpty();
+        assertThat(quarantine.removeExpired()).containsExactly(CONTENT);
         assertThat(quarantine.size()).isZero();
     }
 
@@ -32,6 +32,6 @@
         quarantine.add(CONTENT);
         assertThat(quarantine.release(CONTENT)).isTrue();
         assertThat(quarantine.release(CONTENT)).isFalse();
-        assertThat(quarantine.left(CONTENT)).isEmpty();
+        assertThat(quarantine.remaining(CONTENT)).isEmpty();
     }
 }
--- a/fennelstage-core/src/test/java/org/fennelstage/crash/BrokenRunsTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/crash/SuspectedCrashesTest.java
@@ -6,13 +6,13 @@
 import org.fennelstage.id.BackendServerId;
 import org.junit.jupiter.api.Test;
 
-class BrokenRunsTest {
+class SuspectedCrashesTest {
 
     private static final Incarnation FIRST = Incarnation.of(BackendServerId.of("i-1"));
     private static final Incarnation SECOND = Incarnation.of(BackendServerId.of("i-2"));
     private static final Fingerprint CONTENT = new Fingerprint(7);
 
-    private final BrokenRuns broken = BrokenRuns.empty();
+    private final SuspectedCrashes broken = SuspectedCrashes.empty();
 
     @Test
     void aWorkerIsLookedAtOnceForAllThatBrokeThere() {
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Attempt.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Attempt.java
@@ -7,9 +7,9 @@
 import java.time.Duration;
 import java.util.Optional;
 import org.fennelstage.attempt.AttemptEnd;
-import org.fennelstage.attempt.Pace;
-import org.fennelstage.attempt.Silence;
-import org.fennelstage.attempt.UsualFailures;
+import org.fennelstage.attempt.BaselineFailureRate;
+import org.fennelstage.attempt.Inactivity;
+import org.fennelstage.attempt.LatencyEstimator;
 import org.fennelstage.fleet.TrackedServer;
 import org.fennelstage.http.Call;
 import org.fennelstage.http.CallFailure;
@@ -62,7 +62,7 @@
 
     private final RequestRun run;
     private final TrackedServer server;
-    private final Pace pace;
+    private final LatencyEstimator pace;
     private final long readMillis;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private final EventSplitter events = new EventSplitter(this::onEvent);
@@ -81,7 +81,7 @@
     Attempt(
             final RequestRun run,
             final TrackedServer server,
-            final Pace pace,
+            final LatencyEstimator pace,
             final long readMillis) {
         this.run = run;
         this.server = server;
@@ -112,7 +112,7 @@
 
     private ConnectionUse connectionUse() {
         final int mostIdle = run.gateway().beliefs().connectionShare(run.service()).mostIdle();
-        return run.route().repeatable()
+        return run.route().retryable()
                 ? new ConnectionUse(MAX_IDLE_REPEATABLE, mostIdle, Duration.ZERO)
                 : new ConnectionUse(MAX_IDLE_AT_MOST_ONCE, mostIdle, SETTLING_AT_MOST_ONCE);
     }
@@ -249,8 +249,8 @@
             endWithFormerLife();
             return;
         }
-        final Silence silence =
-                new Silence(
+        final Inactivity silence =
+                new Inactivity(
                         now() - lastByteMillis,
                         server.health().silentMillis(),
                         server.stalledMillis(),
@@ -263,9 +263,9 @@
                         + " silent for "
                         + silence.serverMillis()
                         + " ms, own "
-                        + silence.ownMillis()
+                        + silence.requestMillis()
                         + " ms, answers "
-                        + silence.begunAnswers();
+                        + silence.begunResponses();
         noteBroken();
         run.gateway().onSilent(server);
         run.onSilent(detail);
@@ -287,8 +287,8 @@
 
     private long patienceMillis() {
         return head.isEmpty()
-                ? pace.firstBytePatience(promptTokens())
-                : pace.nextBytePatience(run.route().maxPause().toMillis());
+                ? pace.firstByteTimeoutMillis(promptTokens())
+                : pace.nextByteTimeoutMillis(run.route().maxPause().toMillis());
     }
 
     private int promptTokens() {
@@ -303,7 +303,8 @@
         final boolean failed = answer.isServerFailure();
         noteHealth(failed);
         pace.onEnd(now() - sentMillis);
-        run.canary().onAnswer(server.entry().id(), server.entry().version(), failed, paceMillis());
+        run.canary()
+                .onResponse(server.entry().id(), server.entry().version(), failed, paceMillis());
         if (failed) {
             final byte[] content = body.toByteArray();
             fail(AttemptEnd.FAILED, "failed with " + answer.status(), () -> deliver(content));
@@ -377,9 +378,9 @@
     }
 
     private void noteHealth(final boolean failed) {
-        final UsualFailures usual = run.gateway().beliefs().usualFailures(run.route().name());
+        final BaselineFailureRate usual = run.gateway().beliefs().usualFailures(run.route().name());
         server.health().onEnd(failed, usual.share());
-        usual.onAnswer(failed);
+        usual.onResponse(failed);
     }
 
     /** The time per event after the first; for a plain answer the whole time. */
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Beliefs.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Beliefs.java
@@ -10,9 +10,9 @@
 import java.util.Objects;
 import java.util.Optional;
 import java.util.Set;
-import org.fennelstage.attempt.Pace;
-import org.fennelstage.attempt.RepeatBudget;
-import org.fennelstage.attempt.UsualFailures;
+import org.fennelstage.attempt.BaselineFailureRate;
+import org.fennelstage.attempt.LatencyEstimator;
+import org.fennelstage.attempt.WindowedRetryBudget;
 import org.fennelstage.canary.Canary;
 import org.fennelstage.fleet.ConnectionShare;
 import org.fennelstage.fleet.Eligibility;
@@ -60,9 +60,9 @@
     private final WarmUpShares warmUpShares = WarmUpShares.empty();
     private final Eligibility eligibility;
     private final Map<ServiceName, Canary> canaries = new HashMap<>();
-    private final Map<ServiceName, RepeatBudget> budgets = new HashMap<>();
-    private final Map<String, UsualFailures> usualFailures = new HashMap<>();
-    private final Map<String, Pace> paces = new HashMap<>();
+    private final Map<ServiceName, WindowedRetryBudget> budgets = new HashMap<>();
+    private final Map<String, BaselineFailureRate> usualFailures = new HashMap<>();
+    private final Map<String, LatencyEstimator> paces = new HashMap<>();
     private final Map<String, Opinions> opinions = new HashMap<>();
     private Optional<ServingConfiguration> configuration = Optional.empty();
     private int vmCount;
@@ -149,9 +149,9 @@
     }
 
     /** Returns the pace of a service's workers with one model. */
-    Pace pace(final ServiceName service, final Optional<ModelId> model) {
+    LatencyEstimator pace(final ServiceName service, final Optional<ModelId> model) {
         final String key = service + "/" + model.map(ModelId::value).orElse("");
-        return paces.computeIfAbsent(key, k -> new Pace());
+        return paces.computeIfAbsent(key, k -> new LatencyEstimator());
     }
 
     /** Returns what models' opinions tell on a route; requests of a kind are alike. */
@@ -208,15 +208,15 @@
     }
 
     /** Returns the share of a route's requests that fail wherever they run. */
-    UsualFailures usualFailures(final String route) {
-        return usualFailures.computeIfAbsent(route, r -> new UsualFailures());
+    BaselineFailureRate usualFailures(final String route) {
+        return usualFailures.computeIfAbsent(route, r -> new BaselineFailureRate());
     }
 
-    RepeatBudget budget(final ServiceName service) {
+    WindowedRetryBudget budget(final ServiceName service) {
         return budgets.computeIfAbsent(
                 service,
                 s ->
-                        RepeatBudget.of(
+                        WindowedRetryBudget.of(
                                 clock,
                                 settings.repeatWindow(),
                                 settings.repeatRatio(),
@@ -253,7 +253,7 @@
     /** Notes that the store has come back from an older copy. */
     public void onStoreReplaced() {
         servers.onStoreReplaced();
-        canaries.values().forEach(Canary::onStoreReplaced);
+        canaries.values().forEach(Canary::onStoreRestored);
         settling = true;
         settledAtMillis = clock.millis() + REWRITE_MILLIS;
     }
@@ -318,7 +318,7 @@
         }
         final Canary canary = canary(entry.service());
         if (!settling || !canary.hasVersionInUse()) {
-            canary.onUnordered(entry.version());
+            canary.onVersionWithoutOrder(entry.version());
         }
     }
 
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/CrashWatch.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/CrashWatch.java
@@ -5,12 +5,12 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.fennelstage.crash.Acquittal;
-import org.fennelstage.crash.BrokenRuns;
+import org.fennelstage.crash.ClearedCrashes;
 import org.fennelstage.crash.CrashLedger;
 import org.fennelstage.crash.CrashReport;
 import org.fennelstage.crash.Fingerprint;
 import org.fennelstage.crash.Quarantine;
+import org.fennelstage.crash.SuspectedCrashes;
 import org.fennelstage.fleet.Incarnation;
 import org.fennelstage.fleet.TrackedServer;
 import org.fennelstage.http.ConnectionUse;
@@ -59,11 +59,11 @@
     private final HttpClient client;
     private final CrashLedger ledger;
     private final Quarantine quarantine;
-    private final BrokenRuns broken = BrokenRuns.empty();
+    private final SuspectedCrashes broken = SuspectedCrashes.empty();
     private Consumer<TrackedServer> endListener = server -> {};
     private Consumer<Fingerprint> quarantineListener = content -> {};
     private Consumer<CrashReport> reportListener = report -> {};
-    private Consumer<Acquittal> acquittalListener = acquittal -> {};
+    private Consumer<ClearedCrashes> acquittalListener = acquittal -> {};
     private Runnable storeListener = () -> {};
     private Consumer<Fingerprint> liftedListener = content -> {};
 
@@ -94,7 +94,8 @@
      * @param reports takes the ends of workers
      * @param acquittals takes the requests that were answered after all
      */
-    public void onFound(final Consumer<CrashReport> reports, final Consumer<Acquittal> acquittals) {
+    public void onFound(
+            final Consumer<CrashReport> reports, final Consumer<ClearedCrashes> acquittals) {
         reportListener = Objects.requireNonNull(reports, "reports is null");
         acquittalListener = Objects.requireNonNull(acquittals, "acquittals is null");
     }
@@ -131,12 +132,12 @@
      * @return the time, empty if it may be sent
      */
     Optional<Duration> refusal(final Fingerprint content) {
-        final Optional<Duration> left = quarantine.left(content);
+        final Optional<Duration> left = quarantine.remaining(content);
         if (left.isPresent()) {
             return left;
         }
         final int ends = ledger.crashes(content) + broken.count(content);
-        return ends >= CrashLedger.MOST_CRASHES ? Optional.of(UNTIL_DECIDED) : Optional.empty();
+        return ends >= CrashLedger.MAX_CRASHES ? Optional.of(UNTIL_DECIDED) : Optional.empty();
     }
 
     /**
@@ -201,7 +202,7 @@
                         "ends",
                         ends);
             }
-            if (ends >= CrashLedger.MOST_CRASHES) {
+            if (ends >= CrashLedger.MAX_CRASHES) {
                 quarantine(content, "ends of servers");
             }
         }
@@ -209,9 +210,9 @@
 
     /** Notes that a request was answered, which no request does that ends its workers. */
     void onAnswered(final Fingerprint content) {
-        final Set<Incarnation> cleared = ledger.onAnswered(content);
+        final Set<Incarnation> cleared = ledger.onResponse(content);
         if (!cleared.isEmpty()) {
-            acquittalListener.accept(new Acquittal(content, cleared));
+            acquittalListener.accept(new ClearedCrashes(content, cleared));
             lift(content);
         }
     }
@@ -232,7 +233,7 @@
      *
      * @param acquittal the request, and the ends that count no longer against it
      */
-    public void onAcquittal(final Acquittal acquittal) {
+    public void onAcquittal(final ClearedCrashes acquittal) {
         ledger.clear(acquittal);
         lift(acquittal.content());
     }
@@ -264,7 +265,7 @@
      * @param content the request
      */
     public void release(final Fingerprint content) {
-        ledger.onAnswered(content);
+        ledger.onResponse(content);
         if (quarantine.release(content)) {
             EventLog.write(Event.QUARANTINE_OVER, "content", content, "source", "store");
         }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Outlook.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Outlook.java
@@ -5,7 +5,7 @@
 import java.util.Objects;
 import java.util.Optional;
 import java.util.OptionalDouble;
-import org.fennelstage.attempt.Pace;
+import org.fennelstage.attempt.LatencyEstimator;
 import org.fennelstage.fleet.TrackedServer;
 import org.fennelstage.id.ModelId;
 import org.fennelstage.id.ServiceName;
@@ -17,8 +17,8 @@
  *
  * <p>Answers the load of a service that has more to do than its callers will wait for: what cannot
  * begin in time any more is refused at once instead of taking a worker's time until its deadline.
- * Law: nothing is refused before {@link Pace#known()}, nor while a place is free. Confined to the
- * event loop.
+ * Law: nothing is refused before {@link LatencyEstimator#hasEnoughSamples()}, nor while a place is
+ * free. Confined to the event loop.
  */
 final class Outlook {
 
@@ -35,10 +35,14 @@
 
     /** Returns the request as placement sees it. */
     Job job(final ServiceName service, final Optional<ModelId> model) {
-        final Pace pace = gateway.beliefs().pace(service, model);
+        final LatencyEstimator pace = gateway.beliefs().pace(service, model);
         final boolean sharing = gateway.policy().uses(Mechanism.MEMORY_AFFINITY);
         return new Job(
-                request.prompt(), model, sharing, pace.readMillisPerToken(), pace.answerMillis());
+                request.prompt(),
+                model,
+                sharing,
+                pace.prefillMillisPerToken(),
+                pace.responseMillis());
     }
 
     /**
@@ -51,7 +55,7 @@
             final ServiceName service,
             final List<TrackedServer> candidates,
             final Optional<ModelId> model) {
-        if (!gateway.beliefs().pace(service, model).known()) {
+        if (!gateway.beliefs().pace(service, model).hasEnoughSamples()) {
             return OptionalDouble.empty();
         }
         return gateway.placement().leastWaitMillis(candidates, job(service, model));
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/RequestLog.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/RequestLog.java
@@ -71,7 +71,7 @@
                 "version",
                 server.entry().version(),
                 "chosen_by",
-                choice.ground(),
+                choice.reason(),
                 "meant_for_new",
                 choice.toNew(),
                 "entry_revision",
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/RequestRun.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/RequestRun.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 import org.fennelstage.attempt.AttemptEnd;
 import org.fennelstage.attempt.AttemptLog;
-import org.fennelstage.attempt.Pace;
+import org.fennelstage.attempt.LatencyEstimator;
 import org.fennelstage.canary.Canary;
 import org.fennelstage.canary.VersionChoice;
 import org.fennelstage.crash.Fingerprint;
@@ -72,7 +72,7 @@
         this.request = request;
         this.route = route;
         this.access = access;
-        this.attempts = AttemptLog.of(route.repeatable(), route.maxServers());
+        this.attempts = AttemptLog.of(route.retryable(), route.maxServers());
         this.content = request.fingerprint();
         this.log = new RequestLog(request, content, route, configuration.version(), attempts);
         this.models = ModelChoice.of(route, gateway);
@@ -235,7 +235,7 @@
                 answer.started()
                         || better.isEmpty()
                         || attempts.sent() >= route.maxServers()
-                        || !gateway.beliefs().budget(service).tryRepeat();
+                        || !gateway.beliefs().budget(service).tryRetry();
         if (stays) {
             return false;
         }
@@ -254,10 +254,10 @@
      */
     void onSilent(final String detail) {
         final boolean stays =
-                !route.repeatable()
+                !route.retryable()
                         || attempts.sent() >= route.maxServers()
                         || !hasOtherServer()
-                        || !gateway.beliefs().budget(service).tryRepeat();
+                        || !gateway.beliefs().budget(service).tryRetry();
         if (stays) {
             return;
         }
@@ -287,7 +287,7 @@
             notSent++;
             return notSent < MOST_NOT_SENT;
         }
-        return gateway.beliefs().budget(service).tryRepeat();
+        return gateway.beliefs().budget(service).tryRetry();
     }
 
     private void attempt() {
@@ -331,7 +331,7 @@
      * objective about as long as that.
      */
     private boolean mayProbe() {
-        return isStream() && route.repeatable() && !answer.started();
+        return isStream() && route.retryable() && !answer.started();
     }
 
     private boolean hasOtherServer() {
@@ -346,10 +346,10 @@
             return OptionalInt.empty();
         }
         final OptionalInt teamRank = access.map(TeamAccess::priority).orElse(OptionalInt.empty());
-        return OptionalInt.of(route.rank(teamRank));
+        return OptionalInt.of(route.effectivePriority(teamRank));
     }
 
-    private Pace pace() {
+    private LatencyEstimator pace() {
         return gateway.beliefs().pace(service, models.model());
     }
 
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/CrashNews.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/CrashNews.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 import java.util.function.Supplier;
-import org.fennelstage.crash.Acquittal;
+import org.fennelstage.crash.ClearedCrashes;
 import org.fennelstage.crash.CrashReport;
 import org.fennelstage.crash.Fingerprint;
 import org.fennelstage.time.MonotonicClock;
@@ -67,7 +67,7 @@
     }
 
     /** Tells that a request was answered. */
-    void onAcquittal(final Acquittal acquittal) {
+    void onAcquittal(final ClearedCrashes acquittal) {
         begin(new PeerMessage.Answered(acquittal));
     }
 
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/PeerMessage.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/PeerMessage.java
@@ -9,7 +9,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.fennelstage.canary.RolloutAge;
-import org.fennelstage.crash.Acquittal;
+import org.fennelstage.crash.ClearedCrashes;
 import org.fennelstage.crash.CrashReport;
 import org.fennelstage.crash.Fingerprint;
 import org.fennelstage.fleet.Incarnation;
@@ -185,7 +185,7 @@
      *
      * @param acquittal the request and the workers
      */
-    record Answered(Acquittal acquittal) implements PeerMessage {
+    record Answered(ClearedCrashes acquittal) implements PeerMessage {
 
         public Answered {
             Objects.requireNonNull(acquittal, "acquittal is null");
@@ -247,7 +247,7 @@
         if (answered.matches()) {
             final Fingerprint content = Fingerprint.parse(answered.group(1));
             return Optional.of(
-                    new Answered(new Acquittal(content, incarnations(answered.group(2)))));
+                    new Answered(new ClearedCrashes(content, incarnations(answered.group(2)))));
         }
         final Matcher sums = LOAD_SUMS.matcher(text);
         if (sums.matches()) {
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/QuarantineFeed.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/QuarantineFeed.java
@@ -123,7 +123,7 @@
 
     /** Writes and deletes what is due. To be called a few times a second. */
     void writeDue() {
-        for (final Fingerprint content : crashes.quarantine().takeExpired()) {
+        for (final Fingerprint content : crashes.quarantine().removeExpired()) {
             EventLog.write(Event.QUARANTINE_OVER, "content", content, "source", "time");
             over.add(content);
         }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/RolloutFeed.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/RolloutFeed.java
@@ -114,14 +114,15 @@
     }
 
     private void writeDue(final ServiceName service, final Canary canary) {
-        final Optional<RolloutPhase> phase = canary.due();
+        final Optional<RolloutPhase> phase = canary.phaseToWrite();
         if (phase.isEmpty()) {
             due.remove(service);
             turns.forget(service);
             return;
         }
         final String target = canary.order().orElseThrow().target();
-        final boolean urgent = phase.get() == RolloutPhase.ROLLED_BACK && !canary.repeats();
+        final boolean urgent =
+                phase.get() == RolloutPhase.ROLLED_BACK && !canary.rewritesLostPhase();
         final boolean ownTurn = urgent || isOwnTurn(service, new Due(target, phase.get()));
         if (ownTurn && writing.add(service)) {
             write(service, canary, phase.get());
@@ -155,7 +156,7 @@
                 "revision",
                 order.position(),
                 "again",
-                canary.repeats(),
+                canary.rewritesLostPhase(),
                 "reason",
                 canary.evidence());
     }
--- a/fennelstage-gateway/src/test/java/org/fennelstage/gateway/CrashWatchTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/gateway/CrashWatchTest.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import org.fennelstage.crash.Acquittal;
+import org.fennelstage.crash.ClearedCrashes;
 import org.fennelstage.crash.CrashReport;
 import org.fennelstage.crash.Fingerprint;
 import org.fennelstage.fleet.Incarnation;
@@ -23,7 +23,7 @@
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final AtomicLong now = new AtomicLong(1_000_000);
-    private final List<Acquittal> told = new ArrayList<>();
+    private final List<ClearedCrashes> told = new ArrayList<>();
     private final CrashWatch answering = watch();
     private final CrashWatch other = watch();
 
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/PeerMessageTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/PeerMessageTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.NotEmpty;
 import org.fennelstage.canary.RolloutAge;
-import org.fennelstage.crash.Acquittal;
+import org.fennelstage.crash.ClearedCrashes;
 import org.fennelstage.crash.CrashReport;
 import org.fennelstage.crash.Fingerprint;
 import org.fennelstage.fleet.Incarnation;
@@ -73,7 +73,7 @@
     void anAnsweredRequestIsReadWithTheEndsThatCountNoLonger() {
         final PeerMessage message =
                 new PeerMessage.Answered(
-                        new Acquittal(
+                        new ClearedCrashes(
                                 new Fingerprint(-1),
                                 Set.of(
                                         new Incarnation(BackendServerId.of("i-7"), 12),
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/QuarantineFeedTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/QuarantineFeedTest.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import org.fennelstage.crash.Acquittal;
+import org.fennelstage.crash.ClearedCrashes;
 import org.fennelstage.crash.Fingerprint;
 import org.fennelstage.crash.Quarantine;
 import org.fennelstage.fleet.Incarnation;
@@ -80,7 +80,7 @@
     @Test
     void whatTheStoreListsIsRefusedAndWhatItLostIsWrittenAgain() {
         feed.onAll(List.of(stored(Optional.of(CONTENT))));
-        assertThat(crashes.quarantine().left(CONTENT)).isPresent();
+        assertThat(crashes.quarantine().remaining(CONTENT)).isPresent();
         feed.onAll(List.of());
         feed.writeDue();
         assertThat(store.waiting()).hasSize(1);
@@ -93,7 +93,7 @@
         feed.writeDue();
         assertThat(store.waiting()).hasSize(1);
         feed.onAll(List.of(stored(Optional.of(CONTENT))));
-        assertThat(crashes.quarantine().left(CONTENT)).isEmpty();
+        assertThat(crashes.quarantine().remaining(CONTENT)).isEmpty();
         store.answer(new StoreAnswer.Done<>(null));
         feed.onChange(stored(Optional.empty()));
         feed.writeDue();
@@ -104,7 +104,7 @@
     void anObjectThatAnOperatorDeletesReleasesItsRequest() {
         feed.onAll(List.of(stored(Optional.of(CONTENT))));
         feed.onChange(stored(Optional.empty()));
-        assertThat(crashes.quarantine().left(CONTENT)).isEmpty();
+        assertThat(crashes.quarantine().remaining(CONTENT)).isEmpty();
         feed.writeDue();
         assertThat(store.waiting()).isEmpty();
     }
@@ -114,7 +114,7 @@
         feed.onAll(List.of(stored(Optional.of(CONTENT))));
         feed.onChange(
                 new StoredValue<>("other", Position.of(0, 6), Optional.empty(), Optional.empty()));
-        assertThat(crashes.quarantine().left(CONTENT)).isPresent();
+        assertThat(crashes.quarantine().remaining(CONTENT)).isPresent();
     }
 
     /** Guards against a request that was answered and that the store has refused again. */
@@ -122,11 +122,11 @@
     void aRequestThatWasAnsweredIsDeletedFromTheStoreAndNotTakenUpAgain() {
         feed.onAll(List.of(stored(Optional.of(CONTENT))));
         final Incarnation server = Incarnation.of(BackendServerId.of("i-1"));
-        crashes.onAcquittal(new Acquittal(CONTENT, Set.of(server)));
-        assertThat(crashes.quarantine().left(CONTENT)).isEmpty();
+        crashes.onAcquittal(new ClearedCrashes(CONTENT, Set.of(server)));
+        assertThat(crashes.quarantine().remaining(CONTENT)).isEmpty();
         feed.writeDue();
         assertThat(store.waiting()).hasSize(1);
         feed.onChange(stored(Optional.of(CONTENT)));
-        assertThat(crashes.quarantine().left(CONTENT)).isEmpty();
+        assertThat(crashes.quarantine().remaining(CONTENT)).isEmpty();
     }
 }
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/RolloutFeedTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/RolloutFeedTest.java
@@ -88,7 +88,7 @@
         final RolloutFeed feed = feedWithTurn(300);
         feed.onAll(order(RolloutPhase.IN_PROGRESS, 5));
         for (int i = 0; i < 10; i++) {
-            beliefs.canary(MODELS).onAnswer(BackendServerId.of("i-" + i), "v2", true, 0);
+            beliefs.canary(MODELS).onResponse(BackendServerId.of("i-" + i), "v2", true, 0);
         }
         feed.writeDue();
         assertThat(store.waiting()).hasSize(1);
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/StoreReturnTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/StoreReturnTest.java
@@ -240,7 +240,7 @@
                     && !inUse.contains(ordered.get())
                     && canary.admits(ordered.get(), true)) {
                 for (int i = 0; i < 10; i++) {
-                    canary.onAnswer(BackendServerId.of("i-" + i), ordered.get(), true, 0);
+                    canary.onResponse(BackendServerId.of("i-" + i), ordered.get(), true, 0);
                 }
                 halted.add(ordered.get());
             }
--- a/fennelstage-router/src/main/java/org/fennelstage/route/Attempts.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/Attempts.java
@@ -9,7 +9,7 @@
 import java.util.function.ObjIntConsumer;
 import java.util.function.Supplier;
 import org.fennelstage.backend.BackendServer;
-import org.fennelstage.backend.WorkerChoice;
+import org.fennelstage.backend.ServerSelector;
 import org.fennelstage.http.Call;
 import org.fennelstage.http.CallFailure;
 import org.fennelstage.http.CallOptions;
@@ -92,7 +92,7 @@
         release();
         current = Optional.of(server);
         tried.add(server.id());
-        workers.state(server.id()).breaker().onTry();
+        workers.state(server.id()).breaker().onAttempt();
         call =
                 client.send(
                         new InetSocketAddress(server.host(), server.port()),
@@ -114,7 +114,7 @@
      */
     Optional<BackendServer> send(
             final Pool pool,
-            final WorkerChoice choice,
+            final ServerSelector choice,
             final long prefix,
             final CallOptions options,
             final Supplier<FullHttpRequest> request,
--- a/fennelstage-router/src/main/java/org/fennelstage/route/LoopContext.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/LoopContext.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.SplittableRandom;
-import org.fennelstage.backend.WorkerChoice;
+import org.fennelstage.backend.ServerSelector;
 import org.fennelstage.configuration.Configuration;
 import org.fennelstage.http.HttpClient;
 import org.fennelstage.id.DataCentreId;
@@ -17,7 +17,7 @@
     private final DataCentreId dataCentre;
     private final WorkerTable workers;
     private final SplittableRandom random;
-    private final WorkerChoice forServices;
+    private final ServerSelector forServices;
     private final Map<VersionId, Pool> byVersion = new HashMap<>();
     private final Map<ServiceName, Pool> byService = new HashMap<>();
     private Configuration current = Configuration.empty();
@@ -31,7 +31,7 @@
         this.dataCentre = dataCentre;
         this.workers = workers;
         this.random = new SplittableRandom(seed);
-        this.forServices = WorkerChoice.leastLoad(random.split());
+        this.forServices = ServerSelector.leastLoad(random.split());
     }
 
     HttpClient client() {
@@ -42,7 +42,7 @@
         return random;
     }
 
-    WorkerChoice forServices() {
+    ServerSelector forServices() {
         return forServices;
     }
 
--- a/fennelstage-router/src/main/java/org/fennelstage/route/Pool.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/Pool.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 import java.util.random.RandomGenerator;
 import org.fennelstage.backend.BackendServer;
-import org.fennelstage.backend.WorkerChoice;
-import org.fennelstage.backend.WorkerLoads;
+import org.fennelstage.backend.ServerLoads;
+import org.fennelstage.backend.ServerSelector;
 import org.fennelstage.id.BackendServerId;
 import org.fennelstage.id.DataCentreId;
 
@@ -25,7 +25,7 @@
     private final Tier near;
     private final Tier far;
 
-    private record Tier(List<BackendServer> servers, WorkerLoads loads, WorkerState[] states) {}
+    private record Tier(List<BackendServer> servers, ServerLoads loads, WorkerState[] states) {}
 
     private Pool(final Tier near, final Tier far) {
         this.near = near;
@@ -50,7 +50,7 @@
      * @return the server, empty if there is none
      */
     Optional<BackendServer> choose(
-            final WorkerChoice choice, final long prefix, final Set<BackendServerId> tried) {
+            final ServerSelector choice, final long prefix, final Set<BackendServerId> tried) {
         return choose(near, choice, prefix, tried).or(() -> choose(far, choice, prefix, tried));
     }
 
@@ -76,10 +76,10 @@
             final RandomGenerator random) {
         exclude(tier, tried);
         final int[] best = new int[Math.min(AFFINE, tier.servers().size())];
-        WorkerChoice.firstByAffinity(tier.loads(), prefix, best);
+        ServerSelector.firstByAffinity(tier.loads(), prefix, best);
         final Set<BackendServer> found = new LinkedHashSet<>();
         for (final int index : best) {
-            if (index != WorkerChoice.NONE) {
+            if (index != ServerSelector.NONE) {
                 found.add(tier.servers().get(index));
             }
         }
@@ -94,12 +94,12 @@
 
     private static Optional<BackendServer> choose(
             final Tier tier,
-            final WorkerChoice choice,
+            final ServerSelector choice,
             final long prefix,
             final Set<BackendServerId> tried) {
         exclude(tier, tried);
         final int chosen = choice.choose(tier.loads(), prefix);
-        return chosen == WorkerChoice.NONE
+        return chosen == ServerSelector.NONE
                 ? Optional.empty()
                 : Optional.of(tier.servers().get(chosen));
     }
@@ -116,6 +116,6 @@
     private static Tier tier(final List<BackendServer> servers, final WorkerTable table) {
         final WorkerState[] states =
                 servers.stream().map(s -> table.state(s.id())).toArray(WorkerState[]::new);
-        return new Tier(servers, WorkerLoads.of(servers), states);
+        return new Tier(servers, ServerLoads.of(servers), states);
     }
 }
