--- a/fennelstage-core/src/main/java/org/fennelstage/crash/ClearedCrashes.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/crash/ClearedCrashes.java
@@ -5,11 +5,11 @@
 import org.fennelstage.fleet.Incarnation;
 
 /**
- * A request was answered, so it did not end the workers that ended under it before. Immutable and
- * thread-safe.
+ * Crashes that no longer count against a request, because a backend server has responded to it
+ * since. Immutable and thread-safe.
  *
- * @param content the request
- * @param servers the ends that count no longer against it
+ * @param content the request's fingerprint
+ * @param servers the incarnations whose crashes no longer count
  */
 public record ClearedCrashes(Fingerprint content, Set<Incarnation> servers) {
 
--- a/fennelstage-core/src/main/java/org/fennelstage/crash/CrashLedger.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/crash/CrashLedger.java
@@ -10,44 +10,43 @@
 import org.fennelstage.time.MonotonicClock;
 
 /**
- * How many workers ended under each request, as far as this VM and those that tell it know.
+ * Counts the backend servers that crashed while they had a given request, as reported by this VM
+ * and its peers.
  *
- * <p>A request that ends its workers is sound in every other respect: it has a new id each time, a
- * known caller and a route, and comes through any VM. What gives it away is that workers end under
- * it and that it is never answered. Workers also end for other reasons, and all requests that they
- * have then look alike; one that is answered later is cleared of the ends before.
+ * <p>A request that crashes servers arrives with a new id each time and through any VM, so it is
+ * recognised by its fingerprint. Servers also crash for other reasons, and then all requests that
+ * they had are counted; a response to a request clears the crashes counted for it so far.
  *
- * <p>Laws: each end of a worker counts once for a request, however often it is reported; an end
- * that was cleared never counts again; so the order in which reports and acquittals arrive, and
- * those that arrive twice, make no difference. What is older than {@link #LIFETIME_MILLIS} counts
- * no longer. Not thread-safe.
+ * <p>Invariants: the crash of an incarnation counts once for a request, however often it is
+ * reported; a crash that was cleared never counts again. Reports and clearances may therefore
+ * arrive in any order and more than once. Crashes older than {@link #LIFETIME_MILLIS} no longer
+ * count. Not thread-safe.
  */
 public final class CrashLedger {
 
     /**
-     * Workers that may end under a request before it is refused. Two may be bad luck: in a wave of
-     * crashes some requests are sent from one worker that ends to another.
+     * Number of crashes from which a request is rejected. Lower values would reject harmless
+     * requests that are retried while several servers crash for other reasons.
      */
     public static final int MAX_CRASHES = 3;
 
-    /** How long an end is remembered; milliseconds. */
+    /** How long a crash counts; milliseconds. */
     static final long LIFETIME_MILLIS = 600_000;
 
-    /** Requests remembered; only those whose worker ended get here. */
-    private static final int MOST_KEPT = 2_000;
+    private static final int MAX_REQUESTS = 2_000;
 
-    /** When an end was heard of, and whether it counts. */
-    private record Mark(long atMillis, boolean cleared) {}
+    /** When a crash was first reported or was cleared, and whether it is cleared. */
+    private record Crash(long atMillis, boolean cleared) {}
 
     private final MonotonicClock clock;
-    private final Map<Fingerprint, Map<Incarnation, Mark>> marks =
+    private final Map<Fingerprint, Map<Incarnation, Crash>> crashesByRequest =
             new LinkedHashMap<>(16, 0.75f, true) {
                 private static final long serialVersionUID = 1;
 
                 @Override
                 protected boolean removeEldestEntry(
-                        final Map.Entry<Fingerprint, Map<Incarnation, Mark>> eldest) {
-                    return size() > MOST_KEPT;
+                        final Map.Entry<Fingerprint, Map<Incarnation, Crash>> eldest) {
+                    return size() > MAX_REQUESTS;
                 }
             };
 
@@ -66,33 +65,35 @@
     }
 
     /**
-     * Notes that a worker ended under a request.
+     * Records that a backend server crashed while it had a request.
      *
-     * @param content the request
-     * @param server the worker, and which of its lives ended
-     * @return how many workers have ended under the request
+     * @param content the request's fingerprint
+     * @param server the incarnation that crashed
+     * @return the number of crashes that count against the request
      */
     public int onCrash(final Fingerprint content, final Incarnation server) {
-        final Map<Incarnation, Mark> known = marks.computeIfAbsent(content, c -> new HashMap<>());
-        known.putIfAbsent(server, new Mark(clock.millis(), false));
+        final Map<Incarnation, Crash> known =
+                crashesByRequest.computeIfAbsent(content, c -> new HashMap<>());
+        known.putIfAbsent(server, new Crash(clock.millis(), false));
         return crashes(content);
     }
 
     /**
-     * Notes that a request was answered at this VM.
+     * Clears the crashes of a request, to which this VM received a response.
      *
-     * @param content the request
-     * @return the ends that are cleared by it, for the other VMs; none if none counted
+     * @param content the request's fingerprint
+     * @return the incarnations whose crashes were cleared, to be sent to the other VMs; empty if no
+     *     crash counted
      */
     public Set<Incarnation> onResponse(final Fingerprint content) {
-        final Map<Incarnation, Mark> known = marks.get(content);
+        final Map<Incarnation, Crash> known = crashesByRequest.get(content);
         if (known == null) {
             return Set.of();
         }
         final Set<Incarnation> cleared = new HashSet<>();
         known.forEach(
-                (server, mark) -> {
-                    if (!mark.cleared()) {
+                (server, crash) -> {
+                    if (!crash.cleared()) {
                         cleared.add(server);
                     }
                 });
@@ -101,37 +102,37 @@
     }
 
     /**
-     * Takes the word of a VM at which the request was answered.
+     * Clears crashes of a request, to which a VM received a response.
      *
-     * @param acquittal which ends count no longer
+     * @param cleared the crashes that no longer count
      */
-    public void clear(final ClearedCrashes acquittal) {
-        if (acquittal.servers().isEmpty()) {
+    public void clear(final ClearedCrashes cleared) {
+        if (cleared.servers().isEmpty()) {
             return;
         }
-        final Map<Incarnation, Mark> known =
-                marks.computeIfAbsent(acquittal.content(), c -> new HashMap<>());
-        acquittal.servers().forEach(s -> known.put(s, new Mark(clock.millis(), true)));
+        final Map<Incarnation, Crash> known =
+                crashesByRequest.computeIfAbsent(cleared.content(), c -> new HashMap<>());
+        cleared.servers().forEach(s -> known.put(s, new Crash(clock.millis(), true)));
     }
 
     /**
-     * Returns how many workers have ended under a request.
+     * Returns the number of crashes that count against a request.
      *
-     * @param content the request
-     * @return the count
+     * @param content the request's fingerprint
+     * @return the number of crashes
      */
     public int crashes(final Fingerprint content) {
-        final Map<Incarnation, Mark> known = marks.get(content);
+        final Map<Incarnation, Crash> known = crashesByRequest.get(content);
         if (known == null) {
             return 0;
         }
         final long oldest = clock.millis() - LIFETIME_MILLIS;
-        known.values().removeIf(mark -> mark.atMillis() < oldest);
-        return (int) known.values().stream().filter(mark -> !mark.cleared()).count();
+        known.values().removeIf(crash -> crash.atMillis() < oldest);
+        return (int) known.values().stream().filter(crash -> !crash.cleared()).count();
     }
 
     @Override
     public String toString() {
-        return "CrashLedger[" + marks.size() + "]";
+        return "CrashLedger[" + crashesByRequest.size() + "]";
     }
 }
--- a/fennelstage-core/src/main/java/org/fennelstage/crash/CrashReport.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/crash/CrashReport.java
@@ -5,11 +5,11 @@
 import org.fennelstage.fleet.Incarnation;
 
 /**
- * A worker ended while it had requests that it had begun a moment before, or not yet. Immutable and
- * thread-safe.
+ * A crash of a backend server, with the requests that it had not started or had started just before
+ * the crash. Immutable and thread-safe.
  *
- * @param server the worker, and which of its lives ended
- * @param contents the requests, each of which may have ended it
+ * @param server the incarnation that crashed
+ * @param contents the fingerprints of the requests, each of which may have caused the crash
  */
 public record CrashReport(Incarnation server, Set<Fingerprint> contents) {
 
--- a/fennelstage-core/src/main/java/org/fennelstage/crash/Fingerprint.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/crash/Fingerprint.java
@@ -7,11 +7,11 @@
 import java.util.regex.Pattern;
 
 /**
- * What a request asks, and for whom, in 64 bits: by it a request that comes again is recognised
- * though each arrival has an id of its own, and at whichever VM it arrives.
+ * A 64-bit hash of a request's content and caller. It identifies equal requests at every VM, each
+ * of which arrives with a request id of its own.
  *
- * <p>Laws: equal content gives equal fingerprints at every VM; {@code parse(f.toString())} is
- * {@code f}. Immutable and thread-safe.
+ * <p>Invariants: equal content gives equal fingerprints at every VM; {@code parse(f.toString())}
+ * equals {@code f}. Immutable and thread-safe.
  *
  * <pre>{@code
  * Fingerprint.of("a.example", "/notes/7", "key", body).toString()  // "03f9c1d2a4b5e607"
@@ -26,9 +26,9 @@
     /**
      * Returns the fingerprint of a request.
      *
-     * @param host the host that the caller named
+     * @param host the host that the request names
      * @param target path and query
-     * @param caller who asks: the caller's key, empty if it has none
+     * @param caller the caller's key; empty if it has none
      * @param body the body
      * @return the fingerprint
      */
@@ -41,15 +41,16 @@
     }
 
     /**
-     * Reads a fingerprint.
+     * Parses a fingerprint.
      *
-     * @param text 16 hexadecimal digits
+     * @param text 16 lower-case hexadecimal digits
      * @return the fingerprint
-     * @throws IllegalArgumentException if the text is anything else
+     * @throws IllegalArgumentException if the text has another form
      */
     public static Fingerprint parse(final String text) {
         if (!TEXT.matcher(text).matches()) {
-            throw new IllegalArgumentException("no fingerprint: " + text);
+            throw new IllegalArgumentException(
+                    "fingerprint is not 16 lower-case hexadecimal digits: " + text);
         }
         return new Fingerprint(Long.parseUnsignedLong(text, 16));
     }
--- a/fennelstage-core/src/main/java/org/fennelstage/crash/Quarantine.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/crash/Quarantine.java
@@ -11,15 +11,16 @@
 import org.fennelstage.time.MonotonicClock;
 
 /**
- * Requests that no worker gets any more, since they end those that run them.
+ * Requests that are rejected because they crash backend servers.
  *
- * <p>Law: a request stays for {@link #LIFETIME} unless it is released. Not thread-safe.
+ * <p>Invariant: a request stays in quarantine for {@link #LIFETIME} unless it is released earlier.
+ * Not thread-safe.
  */
 public final class Quarantine {
 
     /**
-     * How long a request is refused. Longer than callers go on asking for the same thing by
-     * themselves; what was mended meanwhile, in the worker or in the request, is tried again then.
+     * How long a request is rejected. Exceeds the time for which callers retry automatically; after
+     * it, a repaired backend server or request is tried again.
      */
     public static final Duration LIFETIME = Duration.ofMinutes(10);
 
@@ -31,7 +32,7 @@
     }
 
     /**
-     * Returns a quarantine that refuses nothing.
+     * Returns an empty quarantine.
      *
      * @param clock the clock
      * @return the quarantine
@@ -41,41 +42,41 @@
     }
 
     /**
-     * Refuses a request from now on.
+     * Adds a request. Its time is not extended if it is in quarantine already.
      *
-     * @param content the request
-     * @return false if it is refused already
+     * @param content the request's fingerprint
+     * @return false if it was in quarantine already
      */
     public boolean add(final Fingerprint content) {
         return sinceMillis.putIfAbsent(content, clock.millis()) == null;
     }
 
     /**
-     * Refuses a request no longer.
+     * Removes a request before its time has passed.
      *
-     * @param content the request
-     * @return false if it was not refused
+     * @param content the request's fingerprint
+     * @return false if it was not in quarantine
      */
     public boolean release(final Fingerprint content) {
         return sinceMillis.remove(content) != null;
     }
 
     /**
-     * Tells for how long a request will be refused.
+     * Returns for how much longer a request is rejected.
      *
-     * @param content the request
-     * @return the time, empty if it is not refused
+     * @param content the request's fingerprint
+     * @return the time, empty if it is not rejected
      */
     public Optional<Duration> remaining(final Fingerprint content) {
         return Optional.ofNullable(sinceMillis.get(content))
                 .map(since -> LIFETIME.minusMillis(clock.millis() - since))
-                .filter(left -> !left.isNegative());
+                .filter(remaining -> !remaining.isNegative());
     }
 
     /**
-     * Takes out the requests whose time is over.
+     * Removes the requests whose time has passed.
      *
-     * @return the requests
+     * @return the fingerprints of the removed requests
      */
     public List<Fingerprint> removeExpired() {
         final List<Fingerprint> expired = new ArrayList<>();
@@ -90,18 +91,19 @@
     }
 
     /**
-     * Returns the requests that are refused.
+     * Returns the requests in quarantine, with those that are expired and not removed yet.
      *
-     * @return the requests
+     * @return their fingerprints
      */
     public Set<Fingerprint> contents() {
         return Set.copyOf(sinceMillis.keySet());
     }
 
     /**
-     * Returns how many requests are refused.
+     * Returns the number of requests in quarantine, with those that are expired and not removed
+     * yet.
      *
-     * @return the count
+     * @return the number of requests
      */
     public int size() {
         return sinceMillis.size();
--- a/fennelstage-core/src/main/java/org/fennelstage/crash/SuspectedCrashes.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/crash/SuspectedCrashes.java
@@ -8,11 +8,11 @@
 import org.fennelstage.fleet.Incarnation;
 
 /**
- * Requests whose connection to their worker broke, while it is not known yet whether the worker
- * itself ended.
+ * Requests whose connection to a backend server broke, while it is not known yet whether the server
+ * crashed.
  *
- * <p>Meanwhile each counts as an end: a request that comes again within these milliseconds would
- * end one worker more than it may. Not thread-safe.
+ * <p>Until that is known, each broken connection counts as a crash: otherwise a request that
+ * arrives again in the meantime could crash one more server than allowed. Not thread-safe.
  */
 public final class SuspectedCrashes {
 
@@ -30,11 +30,11 @@
     }
 
     /**
-     * Adds a request.
+     * Adds a request whose connection broke.
      *
-     * @param server the worker
-     * @param content the request
-     * @return true if it is the first of its worker, which is to be looked at now
+     * @param server the incarnation of the backend server
+     * @param content the request's fingerprint
+     * @return true if it is the first request of this server, which the caller should now probe
      */
     public boolean add(final Incarnation server, final Fingerprint content) {
         Objects.requireNonNull(content, "content is null");
@@ -44,10 +44,11 @@
     }
 
     /**
-     * Takes out the requests of a worker, now that it is known what became of it.
+     * Removes and returns the requests of a backend server, once it is known whether the server
+     * crashed.
      *
-     * @param server the worker
-     * @return the requests
+     * @param server the incarnation of the backend server
+     * @return the fingerprints of the requests
      */
     public Set<Fingerprint> take(final Incarnation server) {
         final Set<Fingerprint> contents = pending.remove(server);
@@ -55,10 +56,10 @@
     }
 
     /**
-     * Returns at how many workers a request's connection broke.
+     * Returns at how many backend servers a request's connection broke.
      *
-     * @param content the request
-     * @return the count
+     * @param content the request's fingerprint
+     * @return the number of servers
      */
     public int count(final Fingerprint content) {
         return (int) pending.values().stream().filter(c -> c.contains(content)).count();
--- a/fennelstage-core/src/main/java/org/fennelstage/crash/package-info.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/crash/package-info.java
@@ -1,2 +1,2 @@
-/** Requests that end the workers that run them: how they are recognised, and by whom. */
+/** Detection, quarantine and release of requests that crash the backend servers that run them. */
 package org.fennelstage.crash;
--- a/fennelstage-core/src/test/java/org/fennelstage/crash/CrashLedgerTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/crash/CrashLedgerTest.java
@@ -28,26 +28,25 @@
     }
 
     @Test
-    void eachEndOfAWorkerCountsOnceHoweverOftenItIsTold() {
+    void aCrashCountsOnceHoweverOftenItIsReported() {
         ledger.onCrash(CONTENT, server(1));
         ledger.onCrash(CONTENT, server(1));
         assertThat(ledger.onCrash(CONTENT, server(2))).isEqualTo(2);
     }
 
     @Test
-    void twoLivesOfAWorkerAreTwoEnds() {
+    void crashesOfTwoIncarnationsOfAServerCountSeparately() {
         final BackendServerId id = BackendServerId.of("i-1");
         ledger.onCrash(CONTENT, new Incarnation(id, 1));
         assertThat(ledger.onCrash(CONTENT, new Incarnation(id, 2))).isEqualTo(2);
     }
 
     /**
-     * Symptom: a lookup that a caller makes each second is refused for minutes. Events: workers end
-     * for reasons of their own, each time with that lookup among what they have; it is answered
-     * thousands of times between. Cause: ends were only ever added up.
+     * Guards against the quarantine of a frequent, harmless request that is among the requests of
+     * servers that crash for other reasons.
      */
     @Test
-    void anAnswerClearsARequestOfTheEndsBeforeIt() {
+    void aResponseClearsTheCrashesBeforeIt() {
         ledger.onCrash(CONTENT, server(1));
         ledger.onCrash(CONTENT, server(2));
         assertThat(ledger.onResponse(CONTENT)).containsOnly(server(1), server(2));
@@ -57,39 +56,39 @@
     }
 
     @Test
-    void anEndThatWasClearedCountsNoMoreWhenItsReportComesLate() {
+    void aClearedCrashDoesNotCountWhenItsReportArrivesLate() {
         ledger.clear(new ClearedCrashes(CONTENT, Set.of(server(1))));
         assertThat(ledger.onCrash(CONTENT, server(1))).isZero();
     }
 
     @Test
-    void endsAreForgottenAfterTheirTime() {
+    void crashesExpireAfterTheirLifetime() {
         ledger.onCrash(CONTENT, server(1));
         now.addAndGet(CrashLedger.LIFETIME_MILLIS + 1);
         assertThat(ledger.crashes(CONTENT)).isZero();
     }
 
-    /** Gives a ledger some report or acquittal, drawn as a number. */
-    private static void take(final CrashLedger by, final int message) {
-        final Incarnation about = server(message / 2);
+    /** Applies a crash report or a clearance, encoded as a number. */
+    private static void apply(final CrashLedger target, final int message) {
+        final Incarnation server = server(message / 2);
         if (message % 2 == 0) {
-            by.onCrash(CONTENT, about);
+            target.onCrash(CONTENT, server);
         } else {
-            by.clear(new ClearedCrashes(CONTENT, Set.of(about)));
+            target.clear(new ClearedCrashes(CONTENT, Set.of(server)));
         }
     }
 
     @Property(tries = 300)
-    void theOrderAndTheRepeatsOfWhatIsToldMakeNoDifference(
+    void orderAndDuplicatesOfReportsMakeNoDifference(
             @ForAll @Size(max = 20) final List<@IntRange(max = 11) Integer> messages,
             @ForAll final long seed) {
-        final CrashLedger one = CrashLedger.of(() -> 0);
-        messages.forEach(message -> take(one, message));
-        final List<Integer> again = new ArrayList<>(messages);
-        again.addAll(messages);
-        Collections.shuffle(again, new Random(seed));
-        final CrashLedger other = CrashLedger.of(() -> 0);
-        again.forEach(message -> take(other, message));
-        assertThat(other.crashes(CONTENT)).isEqualTo(one.crashes(CONTENT));
+        final CrashLedger once = CrashLedger.of(() -> 0);
+        messages.forEach(message -> apply(once, message));
+        final List<Integer> duplicated = new ArrayList<>(messages);
+        duplicated.addAll(messages);
+        Collections.shuffle(duplicated, new Random(seed));
+        final CrashLedger shuffledTwice = CrashLedger.of(() -> 0);
+        duplicated.forEach(message -> apply(shuffledTwice, message));
+        assertThat(shuffledTwice.crashes(CONTENT)).isEqualTo(once.crashes(CONTENT));
     }
 }
--- a/fennelstage-core/src/test/java/org/fennelstage/crash/FingerprintTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/crash/FingerprintTest.java
@@ -16,12 +16,12 @@
     }
 
     @Test
-    void theSameContentHasTheSameFingerprint() {
+    void equalContentHasEqualFingerprints() {
         assertThat(of("a", "/n/1", "k", "text")).isEqualTo(of("a", "/n/1", "k", "text"));
     }
 
     @Test
-    void hostTargetCallerAndBodyEachMakeADifference() {
+    void hostTargetCallerAndBodyEachChangeTheFingerprint() {
         final Fingerprint one = of("a", "/n/1", "k", "text");
         assertThat(of("b", "/n/1", "k", "text")).isNotEqualTo(one);
         assertThat(of("a", "/n/2", "k", "text")).isNotEqualTo(one);
@@ -30,18 +30,18 @@
     }
 
     @Test
-    void whatStandsAtTheBorderOfTwoPartsBelongsToOneOfThem() {
+    void movingACharacterBetweenTwoPartsChangesTheFingerprint() {
         assertThat(of("a", "/n", "kk", "")).isNotEqualTo(of("a", "/nk", "k", ""));
     }
 
     @Property
-    void theTextOfAFingerprintIsReadAsTheSameOne(@ForAll final long bits) {
+    void parseReversesToString(@ForAll final long bits) {
         final Fingerprint fingerprint = new Fingerprint(bits);
         assertThat(Fingerprint.parse(fingerprint.toString())).isEqualTo(fingerprint);
     }
 
     @Test
-    void anythingElseIsNoFingerprint() {
+    void parseRejectsOtherText() {
         assertThatThrownBy(() -> Fingerprint.parse("03F9"))
                 .isInstanceOf(IllegalArgumentException.class);
     }
--- a/fennelstage-core/src/test/java/org/fennelstage/crash/QuarantineTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/crash/QuarantineTest.java
@@ -14,7 +14,7 @@
     private final Quarantine quarantine = Quarantine.of(now::get);
 
     @Test
-    void aRequestIsRefusedForItsTimeAndNoLonger() {
+    void aRequestIsRejectedForTheLifetimeOnly() {
         assertThat(quarantine.add(CONTENT)).isTrue();
         now.addAndGet(1_000);
         assertThat(quarantine.add(CONTENT)).isFalse();
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void aRequestThatIsReleasedIsRefusedNoLonger() {
+    void aReleasedRequestIsNoLongerRejected() {
         quarantine.add(CONTENT);
         assertThat(quarantine.release(CONTENT)).isTrue();
         assertThat(quarantine.release(CONTENT)).isFalse();
--- a/fennelstage-core/src/test/java/org/fennelstage/crash/SuspectedCrashesTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/crash/SuspectedCrashesTest.java
@@ -12,23 +12,23 @@
     private static final Incarnation SECOND = Incarnation.of(BackendServerId.of("i-2"));
     private static final Fingerprint CONTENT = new Fingerprint(7);
 
-    private final SuspectedCrashes broken = SuspectedCrashes.empty();
+    private final SuspectedCrashes suspected = SuspectedCrashes.empty();
 
     @Test
-    void aWorkerIsLookedAtOnceForAllThatBrokeThere() {
-        assertThat(broken.add(FIRST, CONTENT)).isTrue();
-        assertThat(broken.add(FIRST, new Fingerprint(8))).isFalse();
-        assertThat(broken.take(FIRST)).containsOnly(CONTENT, new Fingerprint(8));
-        assertThat(broken.take(FIRST)).isEmpty();
-        assertThat(broken.add(FIRST, CONTENT)).isTrue();
+    void onlyTheFirstBrokenConnectionOfAServerAsksForAProbe() {
+        assertThat(suspected.add(FIRST, CONTENT)).isTrue();
+        assertThat(suspected.add(FIRST, new Fingerprint(8))).isFalse();
+        assertThat(suspected.take(FIRST)).containsOnly(CONTENT, new Fingerprint(8));
+        assertThat(suspected.take(FIRST)).isEmpty();
+        assertThat(suspected.add(FIRST, CONTENT)).isTrue();
     }
 
     @Test
-    void aRequestCountsForEachWorkerThatIsNotJudgedYet() {
-        broken.add(FIRST, CONTENT);
-        broken.add(SECOND, CONTENT);
-        assertThat(broken.count(CONTENT)).isEqualTo(2);
-        broken.take(FIRST);
-        assertThat(broken.count(CONTENT)).isEqualTo(1);
+    void aRequestCountsForEachServerWhoseCrashIsUndecided() {
+        suspected.add(FIRST, CONTENT);
+        suspected.add(SECOND, CONTENT);
+        assertThat(suspected.count(CONTENT)).isEqualTo(2);
+        suspected.take(FIRST);
+        assertThat(suspected.count(CONTENT)).isEqualTo(1);
     }
 }
--- a/spec/guards/run.py
+++ b/spec/guards/run.py
@@ -217,7 +217,7 @@
      "if (result != ProbeResult.REFUSED && !aloneSilent) {", "if (result == null && !aloneSilent) {",
      "CrashingRequestPathTest"),
     ("answer-clears", CORE + "crash/CrashLedger.java",
-     "new Mark(clock.millis(), true)", "new Mark(clock.millis(), false)",
+     "new Crash(clock.millis(), true)", "new Crash(clock.millis(), false)",
      "CrashLedgerTest"),
     ("told-to-all", GATEWAY + "vm/CrashNews.java",
      "if (telling.left() > 1) {", "if (telling.left() > 9) {",
