--- a/fennelstage-core/src/main/java/org/fennelstage/backend/BackendServer.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/backend/BackendServer.java
@@ -9,18 +9,19 @@
 import org.fennelstage.id.VersionId;
 
 /**
- * A worker that answers requests: of a model engine with its versions, or of a plain service.
+ * A backend server: either of a model engine, with the model versions it serves, or of a plain
+ * service.
  *
  * <p>Invariant: it has versions or a service, not both. Immutable and thread-safe.
  *
- * @param id the worker
- * @param dataCentre where it stands
+ * @param id its id
+ * @param dataCentre the data centre it runs in
  * @param host its IP address
  * @param port its TCP port
- * @param versions the versions it serves
- * @param service the plain service it belongs to
- * @param slots how many requests it runs at once
- * @param leaving whether it gets no new work
+ * @param versions the model versions it serves; empty for a plain service
+ * @param service the plain service it belongs to; empty for a model engine
+ * @param slots how many requests it runs concurrently
+ * @param leaving whether it is draining and gets no new requests
  */
 public record BackendServer(
         BackendServerId id,
@@ -43,7 +44,7 @@
                     "backend server " + id + " needs either versions or a service");
         }
         if (slots < 1 || port < 1 || port > 65535) {
-            throw new IllegalArgumentException("backend server " + id + ": bad slots or port");
+            throw new IllegalArgumentException("backend server " + id + ": invalid slots or port");
         }
     }
 }
--- a/fennelstage-core/src/main/java/org/fennelstage/backend/Breaker.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/backend/Breaker.java
@@ -5,13 +5,12 @@
 import java.util.Objects;
 
 /**
- * Leaves a worker out for a while after it could not be reached several times in a row.
+ * A circuit breaker for one backend server. It opens after consecutive connection failures.
  *
- * <p>Only failures of the connection count. Failures of an answer are evidence against the version
- * and not against the worker: counted here, a bad version would take all its workers out of use,
- * and with them the good versions that they also serve.
+ * <p>Failed responses do not count: they are evidence against the model version, and a bad version
+ * would exclude all its servers together with the good versions that they also serve.
  *
- * <p>Invariant: while open, exactly one request per pause is let through to try. Thread-safe.
+ * <p>Invariant: while open, one request per pause is let through as a probe. Thread-safe.
  */
 public final class Breaker {
 
@@ -37,18 +36,18 @@
     }
 
     /**
-     * Tells whether the worker may be chosen.
+     * Tells whether the backend server may be selected.
      *
-     * @return false while left out
+     * @return true if the breaker is closed, or open with its pause over
      */
     public synchronized boolean isClosed() {
         return failures < FAILURES_TO_OPEN || clock.millis() >= openUntilMillis;
     }
 
     /**
-     * Notes that the worker could not be reached.
+     * Records that the backend server could not be reached.
      *
-     * @return true if it is left out from now on
+     * @return true if this failure opened the breaker
      */
     public synchronized boolean onFailure() {
         failures++;
@@ -60,8 +59,8 @@
     }
 
     /**
-     * Notes that a request is about to be sent. An open breaker whose pause is over lets this one
-     * through and no other until it ends.
+     * Records that a request is about to be sent. If the breaker is open, this starts a new pause,
+     * so that no other request is sent while this one probes the server.
      */
     public synchronized void onAttempt() {
         if (failures >= FAILURES_TO_OPEN) {
@@ -70,9 +69,9 @@
     }
 
     /**
-     * Notes that the worker answered.
+     * Records that the backend server responded, and closes the breaker.
      *
-     * @return true if it had been left out
+     * @return true if the breaker was open
      */
     public synchronized boolean onSuccess() {
         final boolean wasOpen = failures >= FAILURES_TO_OPEN;
--- a/fennelstage-core/src/main/java/org/fennelstage/backend/ServerLoads.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/backend/ServerLoads.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * What is known of the load of the workers among which one is chosen.
+ * The load of the backend servers from which one is selected.
  *
- * <p>Reused from choice to choice so that a choice allocates nothing. Not thread-safe.
+ * <p>Reused for all selections so that a selection allocates nothing. Not thread-safe.
  */
 public final class ServerLoads {
 
@@ -14,7 +14,7 @@
     private final int[] slots;
     private final int[] load;
     private final boolean[] excluded;
-    private long[] ranks = new long[0];
+    private long[] affinityBuffer = new long[0];
 
     private ServerLoads(final long[] hashes, final int[] slots) {
         this.hashes = hashes;
@@ -24,9 +24,9 @@
     }
 
     /**
-     * Returns the loads of these workers, all idle.
+     * Returns the loads of these backend servers, all idle.
      *
-     * @param servers the workers
+     * @param servers the backend servers
      * @return the loads
      */
     public static ServerLoads of(final List<BackendServer> servers) {
@@ -41,12 +41,12 @@
         return new ServerLoads(hashes, slots);
     }
 
-    /** Returns room for the ranks of the best workers, the same each time. */
-    long[] ranks(final int count) {
-        if (ranks.length < count) {
-            ranks = new long[count];
+    /** Returns a buffer for at least {@code count} affinities, which all calls share. */
+    long[] affinityBuffer(final int count) {
+        if (affinityBuffer.length < count) {
+            affinityBuffer = new long[count];
         }
-        return ranks;
+        return affinityBuffer;
     }
 
     public int size() {
@@ -54,11 +54,11 @@
     }
 
     /**
-     * Sets what is known of one worker.
+     * Sets the load of one backend server.
      *
-     * @param index the worker
-     * @param running requests it runs or queues
-     * @param isExcluded whether it may not be chosen
+     * @param index the server's index
+     * @param running how many requests it runs or queues
+     * @param isExcluded whether it must not be selected
      */
     public void set(final int index, final int running, final boolean isExcluded) {
         load[index] = running;
@@ -74,22 +74,22 @@
     }
 
     /**
-     * Returns a worker's load relative to its slots.
+     * Returns a backend server's load relative to its slots.
      *
-     * @param index the worker
-     * @return the load; 1 is full
+     * @param index the server's index
+     * @return the utilisation; 1 if all slots are in use, more if requests queue
      */
     public double utilisation(final int index) {
         return (double) load[index] / slots[index];
     }
 
     /**
-     * Returns a worker's rank for a prompt prefix: the worker with the highest is the one whose
-     * cache most likely holds it.
+     * Returns a backend server's affinity to a prompt prefix, by rendezvous hashing. The server
+     * with the highest affinity most likely has the prefix in its prompt cache.
      *
-     * @param index the worker
+     * @param index the server's index
      * @param prefix the hash of the prefix
-     * @return the rank, uniform over all longs
+     * @return the affinity, uniformly distributed over all longs
      */
     public long affinity(final int index, final long prefix) {
         long mixed = hashes[index] ^ prefix;
--- a/fennelstage-core/src/main/java/org/fennelstage/backend/ServerSelector.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/backend/ServerSelector.java
@@ -2,27 +2,30 @@
 
 import java.util.random.RandomGenerator;
 
-/** Chooses a worker for a request. Implementations are stateless but for their random source. */
+/**
+ * Selects a backend server for a request. Implementations hold no state except a source of
+ * randomness.
+ */
 @FunctionalInterface
 public interface ServerSelector {
 
-    /** No worker may be chosen. */
+    /** The index that means that no backend server may be selected. */
     int NONE = -1;
 
     /**
-     * Chooses a worker.
+     * Selects a backend server.
      *
-     * @param loads what is known of the workers
+     * @param loads the load of the backend servers
      * @param prefix the hash of the prompt's prefix
-     * @return the worker's index, or {@link #NONE}
+     * @return the server's index, or {@link #NONE}
      */
     int choose(ServerLoads loads, long prefix);
 
     /**
-     * Any worker with equal chance.
+     * Returns a selector that picks a backend server uniformly at random.
      *
-     * @param random the source of chance
-     * @return the choice
+     * @param random the source of randomness
+     * @return the selector
      */
     static ServerSelector random(final RandomGenerator random) {
         return (loads, prefix) -> {
@@ -38,10 +41,11 @@
     }
 
     /**
-     * The worker with the least known load; ties fall to chance.
+     * Returns a selector that picks the backend server with the lowest utilisation, and breaks ties
+     * at random.
      *
-     * @param random the source of chance
-     * @return the choice
+     * @param random the source of randomness
+     * @return the selector
      */
     static ServerSelector leastLoad(final RandomGenerator random) {
         return (loads, prefix) -> {
@@ -66,12 +70,13 @@
     }
 
     /**
-     * The worker with the highest affinity to the prefix among those whose load is at most {@code
-     * bound} times the mean plus one request; so prompts with a common prefix meet in one cache,
-     * and a popular prefix spills over to the next worker instead of queueing.
+     * Returns a selector that picks the backend server with the highest affinity to the prefix
+     * among those whose utilisation is at most {@code bound} times the mean, or the least utilised
+     * one if there is none. Prompts with a common prefix thus share one prompt cache, and a popular
+     * prefix overflows to other servers instead of queueing.
      *
-     * @param bound how far above the mean a worker may be loaded; above 1
-     * @return the choice
+     * @param bound the largest utilisation as a multiple of the mean; above 1
+     * @return the selector
      */
     static ServerSelector boundedAffinity(final double bound) {
         return (loads, prefix) -> {
@@ -85,7 +90,7 @@
             }
             final double mean = candidates == 0 ? 0 : sum / candidates;
             int chosen = NONE;
-            int spare = NONE;
+            int leastUtilised = NONE;
             long highest = Long.MIN_VALUE;
             double least = Double.POSITIVE_INFINITY;
             for (int i = 0; i < loads.size(); i++) {
@@ -95,7 +100,7 @@
                 final double utilisation = loads.utilisation(i);
                 if (utilisation < least) {
                     least = utilisation;
-                    spare = i;
+                    leastUtilised = i;
                 }
                 final long affinity = loads.affinity(i, prefix);
                 if (utilisation <= bound * mean && affinity >= highest) {
@@ -103,38 +108,37 @@
                     chosen = i;
                 }
             }
-            return chosen == NONE ? spare : chosen;
+            return chosen == NONE ? leastUtilised : chosen;
         };
     }
 
     /**
-     * Finds the workers with the highest affinity to a prefix, for which exact loads are then
-     * asked.
+     * Finds the backend servers with the highest affinity to a prefix.
      *
-     * @param loads the workers
+     * @param loads the backend servers
      * @param prefix the hash of the prompt's prefix
-     * @param best receives their indexes, highest affinity first, {@link #NONE} where there are
-     *     fewer
+     * @param best receives the servers' indexes in descending order of affinity, then {@link #NONE}
+     *     if there are fewer servers than places
      */
     static void firstByAffinity(final ServerLoads loads, final long prefix, final int[] best) {
         java.util.Arrays.fill(best, NONE);
-        final long[] ranks = loads.ranks(best.length);
+        final long[] affinities = loads.affinityBuffer(best.length);
         int found = 0;
         for (int i = 0; i < loads.size(); i++) {
             if (loads.isExcluded(i)) {
                 continue;
             }
-            final long rank = loads.affinity(i, prefix);
-            if (found == best.length && rank <= ranks[found - 1]) {
+            final long affinity = loads.affinity(i, prefix);
+            if (found == best.length && affinity <= affinities[found - 1]) {
                 continue;
             }
             int place = found < best.length ? found++ : found - 1;
-            while (place > 0 && ranks[place - 1] < rank) {
-                ranks[place] = ranks[place - 1];
+            while (place > 0 && affinities[place - 1] < affinity) {
+                affinities[place] = affinities[place - 1];
                 best[place] = best[place - 1];
                 place--;
             }
-            ranks[place] = rank;
+            affinities[place] = affinity;
             best[place] = i;
         }
     }
--- a/fennelstage-core/src/main/java/org/fennelstage/backend/SlotLedger.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/backend/SlotLedger.java
@@ -8,31 +8,32 @@
 import org.fennelstage.id.VmId;
 
 /**
- * How many requests the VMs of a data centre have at backend servers, as the one VM knows that
- * keeps the count of a server.
+ * Counts the requests that each VM of a data centre has at each backend server. For each server,
+ * one VM keeps the count.
  *
- * <p>Each VM states its own count with every message, so a lost message or a new keeper is made
- * good by the next one. The count is advice: a server that is over its slots queues, so a wrong
- * count costs time and nothing else. Thread-safe; one monitor guards the table.
+ * <p>A VM sends its complete own count with every peer message, so that the next message corrects
+ * the table after a lost message or a change of the VM that keeps it. A wrong count delays requests
+ * but does no other harm, since a server queues requests beyond its slots. Thread-safe; one monitor
+ * guards the table.
  */
 public final class SlotLedger {
 
-    private static final int NOTHING = 0;
+    private static final int NO_REQUESTS = 0;
 
     private final Map<BackendServerId, Object2IntHashMap<VmId>> counts = new HashMap<>();
 
     private SlotLedger() {}
 
     /**
-     * The answer to a reservation.
+     * The result of a reservation.
      *
-     * @param granted whether the request is counted
-     * @param running how many requests the server has, the new one left out
+     * @param granted whether the request was counted
+     * @param running how many requests the server has, without the new one
      */
     public record Reservation(boolean granted, int running) {}
 
     /**
-     * Returns a ledger without counts.
+     * Returns an empty ledger.
      *
      * @return the ledger
      */
@@ -41,14 +42,14 @@
     }
 
     /**
-     * Counts one more request of a VM at a server if a slot is free.
+     * Counts one more request of a VM at a backend server if a slot is free.
      *
-     * @param server the server
-     * @param slots how many requests it runs at once
+     * @param server the backend server
+     * @param slots how many requests it runs concurrently
      * @param vm the VM
      * @param own how many requests the VM already has there
-     * @param force whether to count it even if no slot is free
-     * @return whether it is counted
+     * @param force whether to count the request even if no slot is free
+     * @return whether the request was counted
      */
     public synchronized Reservation reserve(
             final BackendServerId server,
@@ -66,17 +67,17 @@
     }
 
     /**
-     * Replaces the count of a VM at a server.
+     * Replaces the count of a VM at a backend server.
      *
-     * @param server the server
+     * @param server the backend server
      * @param vm the VM
-     * @param own how many requests it has there
+     * @param own how many requests the VM has there
      */
     public synchronized void set(final BackendServerId server, final VmId vm, final int own) {
         Objects.requireNonNull(server, "server is null");
         Objects.requireNonNull(vm, "vm is null");
         if (own > 0) {
-            counts.computeIfAbsent(server, s -> new Object2IntHashMap<>(NOTHING)).put(vm, own);
+            counts.computeIfAbsent(server, s -> new Object2IntHashMap<>(NO_REQUESTS)).put(vm, own);
             return;
         }
         final Object2IntHashMap<VmId> byVm = counts.get(server);
@@ -89,8 +90,8 @@
     }
 
     /**
-     * Drops all counts of a VM. Without this the requests of a dead VM would fill its servers'
-     * slots for ever, and these servers would get less and less work.
+     * Removes all counts of a VM that has stopped; its requests would otherwise occupy slots
+     * forever.
      *
      * @param vm the VM
      */
@@ -100,17 +101,17 @@
     }
 
     /**
-     * Returns how many requests a server has.
+     * Returns how many requests a backend server has.
      *
-     * @param server the server
+     * @param server the backend server
      * @return the sum over all VMs
      */
     public synchronized int running(final BackendServerId server) {
         final Object2IntHashMap<VmId> byVm = counts.get(server);
         if (byVm == null) {
-            return NOTHING;
+            return NO_REQUESTS;
         }
-        int sum = NOTHING;
+        int sum = NO_REQUESTS;
         final Object2IntHashMap<VmId>.ValueIterator own = byVm.values().iterator();
         while (own.hasNext()) {
             sum += own.nextInt();
--- a/fennelstage-core/src/main/java/org/fennelstage/backend/package-info.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/backend/package-info.java
@@ -1,2 +1,2 @@
-/** Backend servers, their load, and the choice among them. */
+/** Backend servers, their load, and the selection of one for a request. */
 package org.fennelstage.backend;
--- a/fennelstage-core/src/test/java/org/fennelstage/backend/BreakerTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/backend/BreakerTest.java
@@ -13,13 +13,13 @@
     private final Breaker breaker = Breaker.of(clock);
 
     @Test
-    void oneFailureDoesNotOpen() {
+    void oneFailureDoesNotOpenTheBreaker() {
         assertThat(breaker.onFailure()).isFalse();
         assertThat(breaker.isClosed()).isTrue();
     }
 
     @Test
-    void twoFailuresInARowOpenAndASuccessCloses() {
+    void twoConsecutiveFailuresOpenTheBreakerAndASuccessClosesIt() {
         breaker.onFailure();
         assertThat(breaker.onFailure()).isTrue();
         assertThat(breaker.isClosed()).isFalse();
@@ -27,9 +27,9 @@
         assertThat(breaker.isClosed()).isTrue();
     }
 
-    /** After the pause a crowd of waiting requests must not all try the dead worker. */
+    /** Guards against many waiting requests that probe a failed server at the same time. */
     @Test
-    void afterThePauseOneRequestTriesAndTheOthersStayAway() {
+    void afterThePauseOnlyOneRequestProbesTheServer() {
         breaker.onFailure();
         breaker.onFailure();
         now = now.plusSeconds(3);
--- a/fennelstage-core/src/test/java/org/fennelstage/backend/ServerSelectorTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/backend/ServerSelectorTest.java
@@ -17,21 +17,21 @@
     private final ServerLoads loads = ServerLoads.of(servers(13));
 
     @Test
-    void noChoiceTakesAnExcludedWorker() {
+    void noSelectorPicksAnExcludedServer() {
         for (int i = 0; i < loads.size(); i++) {
             loads.set(i, 0, true);
         }
-        for (final ServerSelector choice : all()) {
-            assertThat(choice.choose(loads, 1)).isEqualTo(ServerSelector.NONE);
+        for (final ServerSelector selector : all()) {
+            assertThat(selector.choose(loads, 1)).isEqualTo(ServerSelector.NONE);
         }
         loads.set(4, 100, false);
-        for (final ServerSelector choice : all()) {
-            assertThat(choice.choose(loads, 1)).isEqualTo(4);
+        for (final ServerSelector selector : all()) {
+            assertThat(selector.choose(loads, 1)).isEqualTo(4);
         }
     }
 
     @Test
-    void leastLoadTakesTheIdleWorker() {
+    void leastLoadPicksTheIdleServer() {
         for (int i = 0; i < loads.size(); i++) {
             loads.set(i, i == 7 ? 0 : 3, false);
         }
@@ -39,30 +39,30 @@
     }
 
     @Test
-    void boundedAffinitySendsOnePrefixToOneWorkerWhileItIsNotOverloaded() {
-        final ServerSelector choice = ServerSelector.boundedAffinity(1.25);
-        final int first = choice.choose(loads, 99);
-        assertThat(IntStream.range(0, 20).map(i -> choice.choose(loads, 99))).containsOnly(first);
+    void boundedAffinityKeepsAPrefixAtOneServerBelowTheBound() {
+        final ServerSelector selector = ServerSelector.boundedAffinity(1.25);
+        final int first = selector.choose(loads, 99);
+        assertThat(IntStream.range(0, 20).map(i -> selector.choose(loads, 99))).containsOnly(first);
     }
 
-    /** A popular prefix must not queue at its worker while others are idle. */
+    /** Guards against a popular prefix that queues at one server while others are idle. */
     @Test
-    void boundedAffinityLeavesAnOverloadedWorker() {
-        final ServerSelector choice = ServerSelector.boundedAffinity(1.25);
-        final int first = choice.choose(loads, 99);
+    void boundedAffinitySkipsAnOverloadedServer() {
+        final ServerSelector selector = ServerSelector.boundedAffinity(1.25);
+        final int first = selector.choose(loads, 99);
         for (int i = 0; i < loads.size(); i++) {
             loads.set(i, i == first ? 8 : 2, false);
         }
-        assertThat(choice.choose(loads, 99)).isNotEqualTo(first);
+        assertThat(selector.choose(loads, 99)).isNotEqualTo(first);
     }
 
     @Test
-    void firstByAffinityFindsTheHighestInOrderAndLeavesExcludedOnesOut() {
+    void firstByAffinityFindsTheHighestInOrderWithoutExcludedServers() {
         for (long prefix = 0; prefix < 200; prefix++) {
-            final long key = prefix;
+            final long hash = prefix;
             final int[] best = new int[4];
             loads.set(3, 0, true);
-            ServerSelector.firstByAffinity(loads, key, best);
+            ServerSelector.firstByAffinity(loads, hash, best);
             final List<Integer> expected =
                     IntStream.range(0, loads.size())
                             .filter(i -> i != 3)
@@ -70,7 +70,8 @@
                             .sorted(
                                     (a, b) ->
                                             Long.compare(
-                                                    loads.affinity(b, key), loads.affinity(a, key)))
+                                                    loads.affinity(b, hash),
+                                                    loads.affinity(a, hash)))
                             .limit(4)
                             .toList();
             assertThat(IntStream.of(best).boxed().toList()).isEqualTo(expected);
@@ -78,7 +79,7 @@
     }
 
     @Test
-    void firstByAffinityLeavesPlacesEmptyWhereThereAreFewerWorkers() {
+    void firstByAffinityFillsUnusedPlacesWithNone() {
         final int[] best = new int[4];
         ServerSelector.firstByAffinity(ServerLoads.of(servers(2)), 1, best);
         assertThat(best[2]).isEqualTo(ServerSelector.NONE);
--- a/fennelstage-core/src/test/java/org/fennelstage/backend/SlotLedgerTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/backend/SlotLedgerTest.java
@@ -15,7 +15,7 @@
     private final SlotLedger ledger = SlotLedger.empty();
 
     @Test
-    void reserveGrantsUntilTheSlotsOfAllVmsTogetherAreTaken() {
+    void reserveGrantsUntilTheRequestsOfAllVmsFillTheSlots() {
         assertThat(ledger.reserve(SERVER, 2, A, 0, false).granted()).isTrue();
         assertThat(ledger.reserve(SERVER, 2, B, 0, false).granted()).isTrue();
         final SlotLedger.Reservation third = ledger.reserve(SERVER, 2, A, 1, false);
@@ -25,23 +25,25 @@
     }
 
     @Test
-    void reserveWithForceCountsARequestThatWillQueue() {
+    void reserveWithForceCountsARequestBeyondTheSlots() {
         ledger.reserve(SERVER, 1, A, 0, false);
         assertThat(ledger.reserve(SERVER, 1, B, 0, true).granted()).isTrue();
         assertThat(ledger.running(SERVER)).isEqualTo(2);
     }
 
-    /** A lost "ended" must not count for ever: the VM's next message states its count anew. */
+    /** Guards against slots that stay occupied after the message of a request's end is lost. */
     @Test
-    void theNextMessageOfAVmReplacesWhatItSaidBefore() {
+    void theNextCountOfAVmReplacesTheFormerOne() {
         ledger.set(SERVER, A, 7);
         ledger.reserve(SERVER, 8, A, 1, false);
         assertThat(ledger.running(SERVER)).isEqualTo(2);
     }
 
-    /** Symptom: servers get less and less work. Cause: requests of dead VMs fill their slots. */
+    /**
+     * Guards against servers that get fewer requests because those of a stopped VM occupy slots.
+     */
     @Test
-    void forgetDropsTheCountsOfADeadVm() {
+    void forgetRemovesTheCountsOfAVm() {
         ledger.set(SERVER, A, 5);
         ledger.set(SERVER, B, 1);
         ledger.forget(A);
