--- a/fennelstage-core/src/main/java/org/fennelstage/serving/CallerLimits.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/serving/CallerLimits.java
@@ -4,17 +4,17 @@
 import java.util.Objects;
 
 /**
- * Bounds on what a caller may send and how long it may take. Immutable and thread-safe.
+ * Limits on the size and duration of callers' requests and connections. Immutable and thread-safe.
  *
  * @param maxHeaderBytes the largest head of a request; bytes
- * @param maxBodyBytes the largest body; bytes
- * @param headerTimeout how long a head may take to arrive
+ * @param maxBodyBytes the largest body of a request; bytes
+ * @param headerTimeout the longest time in which a head must arrive
  * @param idleTimeout how long a connection may be idle
  */
 public record CallerLimits(
         int maxHeaderBytes, int maxBodyBytes, Duration headerTimeout, Duration idleTimeout) {
 
-    /** In force until a configuration is known; generous, so that it rejects nothing proper. */
+    /** Limits until a configuration is loaded, wide enough to accept every valid request. */
     public static final CallerLimits UNTIL_CONFIGURED =
             new CallerLimits(
                     64 * 1024, 16 * 1024 * 1024, Duration.ofSeconds(10), Duration.ofSeconds(60));
--- a/fennelstage-core/src/main/java/org/fennelstage/serving/ModelSize.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/serving/ModelSize.java
@@ -4,10 +4,11 @@
 import org.fennelstage.id.ModelId;
 
 /**
- * A model that a service's workers hold. Immutable and thread-safe.
+ * A model that a service's backend servers have, with its price. Immutable and thread-safe.
  *
- * @param model its name
- * @param cost its price per 1,000 generated tokens; a token read counts a quarter
+ * @param model the model
+ * @param cost its price per 1,000 generated tokens; a prompt token costs a quarter of a generated
+ *     one
  */
 public record ModelSize(ModelId model, double cost) {
 
--- a/fennelstage-core/src/main/java/org/fennelstage/serving/Route.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/serving/Route.java
@@ -8,22 +8,24 @@
 import org.fennelstage.id.ModelId;
 
 /**
- * How requests below one path of one host are served.
+ * How requests for one host and path prefix are served.
  *
  * <p>Invariant: there is at least one service. Immutable and thread-safe.
  *
  * @param name its name in logs and metrics
- * @param host the host that callers name
- * @param pathPrefix the beginning of the paths; begins and ends with a slash
- * @param kind what may be repeated
- * @param resumable whether a stream may go on at another worker
- * @param keyless whether no key is asked for
- * @param services the services and their parts
- * @param maxServers the largest number of workers to which one request may be sent
- * @param timeout the longest time that a request may be kept
- * @param objective the time within which a response, or its first event, has its full value
- * @param maxPause the longest pause between events of a stream that is in time; zero if not given
- * @param priority the rank, 0 first
+ * @param host the host that requests name
+ * @param pathPrefix the prefix of the paths; begins and ends with a slash
+ * @param kind whether its requests may be retried
+ * @param resumable whether a stream may be continued at another backend server
+ * @param keyless whether requests need no key
+ * @param services the services and their weights
+ * @param maxServers the largest number of backend servers to which one request may be sent
+ * @param timeout the longest time that a request may take
+ * @param objective the latency objective: the time within which a response, or its first event, has
+ *     its full value
+ * @param maxPause the largest inter-token latency of a stream that meets its objective; zero if
+ *     none is configured
+ * @param priority the priority; 0 is the highest
  * @param sizes the models among which the router chooses, the smallest first; empty if the caller
  *     names the model
  */
@@ -67,17 +69,17 @@
     }
 
     /**
-     * Chooses the service of a request.
+     * Selects the service of a request at random, in proportion to the weights.
      *
-     * @param draw a number in [0, 1)
+     * @param draw a random number in [0, 1)
      * @return the service; empty if all weights are zero
      */
     public Optional<WeightedService> service(final double draw) {
         final int total = services.stream().mapToInt(WeightedService::weight).sum();
-        double left = draw * total;
+        double remaining = draw * total;
         for (final WeightedService candidate : services) {
-            left -= candidate.weight();
-            if (left < 0) {
+            remaining -= candidate.weight();
+            if (remaining < 0) {
                 return Optional.of(candidate);
             }
         }
@@ -85,10 +87,10 @@
     }
 
     /**
-     * Returns the rank of a request.
+     * Returns the priority of a request.
      *
-     * @param team the rank of its team, empty if it has none
-     * @return the team's rank if there is one, else the route's
+     * @param team the priority of the caller's team, empty if it has none
+     * @return the team's priority if there is one, else the route's
      */
     public int effectivePriority(final OptionalInt team) {
         return team.orElse(priority);
--- a/fennelstage-core/src/main/java/org/fennelstage/serving/Service.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/serving/Service.java
@@ -5,12 +5,12 @@
 import org.fennelstage.id.ServiceName;
 
 /**
- * A group of workers that answer the same requests. Immutable and thread-safe.
+ * A group of interchangeable backend servers. Immutable and thread-safe.
  *
  * @param name its name
- * @param maxConnections how many connections one worker accepts from all VMs together
- * @param engine what its workers can do, empty for a plain service
- * @param warmUp what its workers stand while they are cold, empty if they have no need to warm up
+ * @param maxConnections how many connections one server accepts from all VMs together
+ * @param engine capacity and models of its servers; empty for a plain service
+ * @param warmUp the limits during warm-up; empty if its servers need no warm-up
  */
 public record Service(
         ServiceName name, int maxConnections, Optional<Engine> engine, Optional<WarmUp> warmUp) {
--- a/fennelstage-core/src/main/java/org/fennelstage/serving/ServingConfiguration.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/serving/ServingConfiguration.java
@@ -12,9 +12,9 @@
 import org.fennelstage.id.ServiceName;
 
 /**
- * One version of what is served.
+ * One version of the serving configuration, indexed for lookups by host, service and key.
  *
- * <p>Law: {@code route(h, p)} is the route of host {@code h} with the longest prefix that begins
+ * <p>Invariant: {@code route(h, p)} is the route of host {@code h} with the longest path prefix of
  * {@code p}. Immutable and thread-safe.
  */
 public final class ServingConfiguration {
@@ -42,14 +42,14 @@
     }
 
     /**
-     * Compiles a version.
+     * Builds a configuration.
      *
-     * @param version its number; higher is newer
+     * @param version its version number; higher is newer
      * @param routes the routes
      * @param services the services
      * @param limits the limits on callers
-     * @param keys the keys and what they stand for
-     * @param keysInUse whether requests need keys at all
+     * @param keys the teams by key
+     * @param keysInUse whether requests need a key, unless their route is keyless
      * @return the configuration
      */
     public static ServingConfiguration of(
@@ -62,7 +62,7 @@
         Objects.requireNonNull(limits, "limits is null");
         final Map<String, List<Route>> byHost = new HashMap<>();
         for (final Route route : routes) {
-            byHost.computeIfAbsent(lower(route.host()), h -> new ArrayList<>()).add(route);
+            byHost.computeIfAbsent(lowerCase(route.host()), h -> new ArrayList<>()).add(route);
         }
         final Comparator<Route> longestFirst =
                 Comparator.comparingInt((Route r) -> r.pathPrefix().length()).reversed();
@@ -82,7 +82,7 @@
     }
 
     /**
-     * Tells whether requests need a key, unless their route asks for none.
+     * Tells whether requests need a key, unless their route is keyless.
      *
      * @return true if any team is declared
      */
@@ -93,13 +93,13 @@
     /**
      * Finds the route of a request.
      *
-     * @param host the host that the caller named, with or without a port
-     * @param path the path without its query
+     * @param host the host that the request names, with or without a port
+     * @param path the path without the query
      * @return the route, empty if none matches
      */
     public Optional<Route> route(final String host, final String path) {
         final int colon = host.indexOf(':');
-        final String name = lower(colon < 0 ? host : host.substring(0, colon));
+        final String name = lowerCase(colon < 0 ? host : host.substring(0, colon));
         final List<Route> candidates = routesByHost.getOrDefault(name, List.of());
         for (final Route candidate : candidates) {
             if (path.startsWith(candidate.pathPrefix())) {
@@ -110,10 +110,10 @@
     }
 
     /**
-     * Finds what a key stands for.
+     * Finds the team of a key.
      *
      * @param key the key
-     * @return the team and its rank, empty if no team holds the key
+     * @return the team and its priority, empty if the key belongs to no team
      */
     public Optional<TeamAccess> access(final String key) {
         return Optional.ofNullable(keys.get(key));
@@ -122,8 +122,8 @@
     /**
      * Finds a service.
      *
-     * @param name its name
-     * @return the service, empty if it is not declared
+     * @param name the service's name
+     * @return the service, empty if it is not configured
      */
     public Optional<Service> service(final ServiceName name) {
         return Optional.ofNullable(services.get(name));
@@ -134,7 +134,7 @@
         return "ServingConfiguration[version=" + version + "]";
     }
 
-    private static String lower(final String host) {
+    private static String lowerCase(final String host) {
         return host.toLowerCase(Locale.ROOT);
     }
 }
--- a/fennelstage-core/src/main/java/org/fennelstage/serving/TeamAccess.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/serving/TeamAccess.java
@@ -5,11 +5,11 @@
 import org.fennelstage.id.TeamId;
 
 /**
- * What a key stands for. Immutable and thread-safe.
+ * The team to which a key belongs, with its priority. Immutable and thread-safe.
  *
- * @param team the team that holds the key
- * @param priority the team's rank, 0 first, which goes before its routes' ranks; empty if it has
- *     none
+ * @param team the team
+ * @param priority the team's priority, which overrides those of routes; 0 is the highest; empty if
+ *     the team has none
  */
 public record TeamAccess(TeamId team, OptionalInt priority) {
 
--- a/fennelstage-core/src/main/java/org/fennelstage/serving/WarmUp.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/serving/WarmUp.java
@@ -4,11 +4,11 @@
 import java.util.Objects;
 
 /**
- * What a worker of a service stands while it is cold: after its start, and whenever it says so.
- * Immutable and thread-safe.
+ * Limits on a service's backend servers that are warming up: after a start, and whenever a server
+ * reports that it is warming up. Immutable and thread-safe.
  *
- * @param time how long a worker that starts stays cold
- * @param requestsPerSecond how many requests it takes in a second from all VMs together
+ * @param time how long the warm-up takes after a start
+ * @param requestsPerSecond how many requests per second a server accepts from all VMs together
  */
 public record WarmUp(Duration time, int requestsPerSecond) {
 
--- a/fennelstage-core/src/main/java/org/fennelstage/serving/package-info.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/serving/package-info.java
@@ -1,2 +1,2 @@
-/** What is served and how: routes, services, models, limits and the teams' keys of one version. */
+/** The serving configuration: routes, services, models, limits and the teams' keys. */
 package org.fennelstage.serving;
--- a/fennelstage-core/src/test/java/org/fennelstage/serving/ServingConfigurationTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/serving/ServingConfigurationTest.java
@@ -42,7 +42,7 @@
                     true);
 
     @Test
-    void theLongestPrefixOfTheHostWins() {
+    void theRouteWithTheLongestPrefixMatches() {
         assertThat(configuration.route("a.example", "/x/y/z").orElseThrow().name())
                 .isEqualTo("long");
         assertThat(configuration.route("a.example", "/x/z").orElseThrow().name())
@@ -50,24 +50,24 @@
     }
 
     @Test
-    void aPortAndTheCaseOfTheHostDoNotMatter() {
+    void portAndCaseOfTheHostAreIgnored() {
         assertThat(configuration.route("B.Example:8080", "/any")).isPresent();
     }
 
     @Test
-    void withoutAMatchThereIsNoRoute() {
+    void noRouteMatchesAnotherPathOrHost() {
         assertThat(configuration.route("a.example", "/xy")).isEmpty();
         assertThat(configuration.route("c.example", "/x/")).isEmpty();
     }
 
     @Test
-    void aKeyStandsForItsTeam() {
+    void aKeyBelongsToItsTeam() {
         assertThat(configuration.access("k1").orElseThrow().team()).isEqualTo(TeamId.of("news"));
         assertThat(configuration.access("k2")).isEmpty();
     }
 
     @Test
-    void servicesAreDrawnByTheirWeights() {
+    void servicesAreSelectedByTheirWeights() {
         final Route split =
                 new Route(
                         "split",
