--- a/fennelstage-core/src/main/java/org/fennelstage/canary/Canary.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/canary/Canary.java
@@ -12,56 +12,57 @@
 import org.fennelstage.time.MonotonicClock;
 
 /**
- * The versions of one service: which may get requests, and what this VM finds of a new one.
+ * The versions of one service: which of them may get requests, and whether this VM has found a new
+ * one to be bad.
  *
- * <p>Each VM judges by its own requests and halts for itself at once; the halt reaches the others
- * through the object in the store. Invariants: a version that may belong to an order not yet known
- * here gets nothing; a halted version gets nothing, whatever the store says later of the same
- * order. Not thread-safe.
+ * <p>Each VM decides by the responses to its own requests and halts the rollout for itself at once;
+ * the other VMs learn of the halt through the store. Invariants: a version that may belong to an
+ * unknown order gets no requests; a halted version gets no requests, whatever the store reports of
+ * the same order later. Not thread-safe.
  *
- * <p>A store that comes back from an older copy may have lost how an order ended, or the order. How
- * it ended stays true here, and is due to be written again once the store speaks of the order: a VM
- * that starts afterwards learns from the store alone, and would send requests to a version that was
- * found bad. An older order that the copy speaks of instead changes nothing.
+ * <p>A store that was restored from an older copy may have lost the end of an order, or the whole
+ * order. This VM keeps the end that it knows, and writes it again once the store holds the order:
+ * VMs that start later know only the store, and would send requests to a version that was found
+ * bad. An older order that the restored store holds instead changes nothing.
  */
 public final class Canary {
 
     private final MonotonicClock clock;
     private final double allowedShare;
-    private final Set<String> proven = new HashSet<>();
-    private final Set<String> bad = new HashSet<>();
-    private final ToldVersions told;
+    private final Set<String> versionsInUse = new HashSet<>();
+    private final Set<String> badVersions = new HashSet<>();
+    private final ReportedVersions reportedVersions;
     private final EndedOrders endedOrders = EndedOrders.empty();
     private Optional<RolloutOrder> order = Optional.empty();
     private CanaryEvidence evidence = new CanaryEvidence();
-    private long begunAtMillis;
+    private long startMillis;
 
-    /** Whether the begin is known by steady clocks alone, this VM's or others'. */
-    private boolean steady;
+    /** Whether the start of the order is known by monotonic clocks only, of this VM or others. */
+    private boolean startIsMonotonic;
 
-    /** Where in the store's history this VM first heard of the present order. */
+    /** The position at which this VM first received the present order. */
     private Position firstPosition = Position.NONE;
 
-    /** How the present order ended, also while the store does not say so any more. */
-    private Optional<RolloutPhase> verdict = Optional.empty();
+    /** How the present order ended, even if a restored store no longer holds that. */
+    private Optional<RolloutPhase> endPhase = Optional.empty();
 
-    /** Whether the store has spoken of the present order since it came back from a copy. */
+    /** Whether the store has reported the present order since it was restored from a copy. */
     private boolean inStore = true;
 
-    /** Whether the store speaks of the time before, since what it lost is not written again yet. */
-    private boolean copyDoubted;
+    /** Whether the store was restored from a copy and what it lost may not be rewritten yet. */
+    private boolean rewritePending;
 
     private Canary(final MonotonicClock clock, final double allowedShare) {
         this.clock = clock;
         this.allowedShare = allowedShare;
-        this.told = ToldVersions.of(clock);
+        this.reportedVersions = ReportedVersions.of(clock);
     }
 
     /**
-     * Returns the state of a service of which nothing is known.
+     * Returns the state of a service without known versions.
      *
      * @param clock the clock
-     * @param allowedShare the largest part of all requests that a bad version may get
+     * @param allowedShare the largest share of all requests that a bad version may get
      * @return the state
      */
     public static Canary of(final MonotonicClock clock, final double allowedShare) {
@@ -69,44 +70,45 @@
     }
 
     /**
-     * Tells whether anything is known of a version.
+     * Tells whether a version is known.
      *
      * @param version the version
      * @return true if it is in use, ordered or found bad
      */
     public boolean knows(final String version) {
         final boolean ordered = order.isPresent() && order.get().target().equals(version);
-        return ordered || proven.contains(version) || bad.contains(version);
+        return ordered || versionsInUse.contains(version) || badVersions.contains(version);
     }
 
     /**
      * Tells whether any version is in use.
      *
-     * @return true if so
+     * @return true if at least one version is in use
      */
     public boolean hasVersionInUse() {
-        return !proven.isEmpty();
+        return !versionsInUse.isEmpty();
     }
 
     /**
-     * Notes a version of which it is certain that no order speaks that is not known here.
+     * Puts a version in use that certainly belongs to no order unknown to this VM. It is ignored if
+     * it was ordered, reported by other VMs or found bad, or if a rollout has been completed.
      *
      * @param version the version
      */
     public void onVersionWithoutOrder(final String version) {
-        final boolean superseded = order.isPresent() && completed();
-        final boolean ordered = isTarget(version) || told.contains(version);
-        if (!superseded && !ordered && !bad.contains(version)) {
-            proven.add(version);
+        final boolean superseded = order.isPresent() && isCompleted();
+        final boolean ordered = isTarget(version) || reportedVersions.contains(version);
+        if (!superseded && !ordered && !badVersions.contains(version)) {
+            versionsInUse.add(version);
         }
     }
 
     /**
-     * Takes the state of an order from the store.
+     * Updates the order from the store.
      *
-     * @param newer the order
+     * @param newer the order's state
      * @param elapsed the time since it was given, as far as known
-     * @return false if nothing about it is new to this VM
+     * @return false if the state is not newer than the known one
      */
     public boolean onOrder(final RolloutOrder newer, final Duration elapsed) {
         if (order.isPresent() && !newer.position().isAfter(order.get().position())) {
@@ -121,35 +123,36 @@
     }
 
     /**
-     * Takes an order from a store that has come back from an older copy. For the version that this
-     * VM knows as ordered it is the same order, and what this VM knows of it stays true. An order
-     * whose end this VM knows is the copy's word of the time before; it is passed over while the
-     * present order may still be written again, and has ended all the same after that.
+     * Updates the order from a store that was restored from an older copy. An order for the target
+     * that this VM knows is the same order and keeps its state. An order whose end this VM knows is
+     * an old one: it is ignored while the present order may still be rewritten, and counts as ended
+     * after that.
      */
     private void onOrderOfLaterEra(final RolloutOrder newer, final Duration elapsed) {
         if (order.get().target().equals(newer.target())) {
-            resume(newer);
+            replaceOrder(newer);
             return;
         }
         final Optional<RolloutPhase> end = endedOrders.endOf(newer);
         final boolean inUseOrEnded =
-                end.isPresent() || newer.phase().ended() || proven.contains(newer.target());
-        if (copyDoubted && inUseOrEnded) {
+                end.isPresent() || newer.phase().ended() || versionsInUse.contains(newer.target());
+        if (rewritePending && inUseOrEnded) {
             return;
         }
         if (end.isPresent()) {
-            verdict = end;
-            resume(newer);
+            endPhase = end;
+            replaceOrder(newer);
         } else {
             onNewerOrder(newer, elapsed);
         }
     }
 
-    private void resume(final RolloutOrder newer) {
+    /** Replaces the order without a restart of the rollout. */
+    private void replaceOrder(final RolloutOrder newer) {
         order = Optional.of(newer);
         inStore = true;
         if (newer.phase().ended()) {
-            note(newer);
+            recordEnd(newer);
         }
     }
 
@@ -159,159 +162,163 @@
                         && order.get().target().equals(newer.target())
                         && order.get().phase().ended() == newer.phase().ended();
         if (!same) {
-            begunAtMillis = clock.millis() - elapsed.toMillis();
-            steady = newer.begunAt().isEmpty();
+            startMillis = clock.millis() - elapsed.toMillis();
+            startIsMonotonic = newer.begunAt().isEmpty();
             firstPosition = newer.position();
             evidence = new CanaryEvidence();
-            verdict = Optional.empty();
-            bad.remove(newer.target());
+            endPhase = Optional.empty();
+            badVersions.remove(newer.target());
             if (!newer.phase().ended()) {
-                proven.remove(newer.target());
+                versionsInUse.remove(newer.target());
             }
         }
         order = Optional.of(newer);
         inStore = true;
-        note(newer);
+        recordEnd(newer);
     }
 
-    /** Notes how an order ended. */
-    private void note(final RolloutOrder newer) {
+    /** Updates the versions if the order has ended. */
+    private void recordEnd(final RolloutOrder newer) {
         if (newer.phase() == RolloutPhase.COMPLETED) {
-            proven.clear();
-            proven.add(newer.target());
-            bad.remove(newer.target());
+            versionsInUse.clear();
+            versionsInUse.add(newer.target());
+            badVersions.remove(newer.target());
         } else if (newer.phase() == RolloutPhase.ROLLED_BACK) {
-            bad.add(newer.target());
-            proven.remove(newer.target());
+            badVersions.add(newer.target());
+            versionsInUse.remove(newer.target());
         }
         if (newer.phase().ended()) {
-            verdict = Optional.of(newer.phase());
+            endPhase = Optional.of(newer.phase());
             endedOrders.onEnded(newer);
         }
     }
 
-    /** Notes that the store has come back from an older copy. */
+    /** Records that the store was restored from an older copy. */
     public void onStoreRestored() {
         inStore = false;
-        copyDoubted = true;
+        rewritePending = true;
     }
 
-    /** Notes that whoever wants to write again what the store lost has had the time to. */
+    /** Records that operators and VMs have had time to rewrite what a restored store lost. */
     public void onStoreSettled() {
-        copyDoubted = false;
+        rewritePending = false;
     }
 
     /**
-     * Returns how old the order is, for VMs that started after it: one that runs, or was found bad
-     * and the store does not say so at present.
+     * Returns the age of the order, to be sent to VMs that started after it, if the order is
+     * running or was found bad and the store does not hold the halt.
      *
-     * @return the age, empty if there is no such order or this VM has it from a time of day only
+     * @return the age, empty if there is no such order or its start is known only by a wall clock
      */
     public Optional<RolloutAge> age() {
-        final boolean toBeTold = running() || untoldHalt();
-        if (!toBeTold || !steady) {
+        final boolean reportable = isRunning() || isHaltMissingInStore();
+        if (!reportable || !startIsMonotonic) {
             return Optional.empty();
         }
-        final RolloutOrder of = order.get();
+        final RolloutOrder present = order.get();
         return Optional.of(
-                new RolloutAge(of.service(), of.target(), of.position(), elapsed().toMillis()));
+                new RolloutAge(
+                        present.service(),
+                        present.target(),
+                        present.position(),
+                        elapsed().toMillis()));
     }
 
-    /** Whether the present order was halted and the store does not say so. */
-    private boolean untoldHalt() {
+    private boolean isHaltMissingInStore() {
         return order.isPresent()
-                && bad.contains(order.get().target())
+                && badVersions.contains(order.get().target())
                 && !(inStore && order.get().phase().ended());
     }
 
     /**
-     * Takes the age of the order from a VM that heard it being given.
+     * Updates the age of the order from a peer message.
      *
-     * <p>A VM that starts in the middle reckons the age from a time of day that another VM wrote;
-     * times of day differ and may jump by seconds, and a VM that is 2 s ahead would move sessions
-     * in the first half of a roll-out of 16 s, or end it early. Steady clocks only ever lose time,
-     * while their VM stands still, so the oldest age is the best.
+     * <p>A VM that starts during a rollout computes the age from a time that another VM's wall
+     * clock gave. Wall clocks may differ by seconds, which would move sessions in the first half of
+     * a short rollout or end it early. Monotonic clocks only lose time, while their VM is
+     * suspended, so the highest reported age is the most accurate.
      *
-     * <p>An order that this VM does not know may be one that the store has lost. Its version is not
-     * in use, whatever the store says, for as long as others tell of it.
+     * <p>If this VM does not know the order, the store may have lost it. The version then does not
+     * count as in use while other VMs report it.
      *
-     * @param heard the age
-     * @return by how much this VM's view changed; zero if the word is of another order
+     * @param reported the age
+     * @return by how much the elapsed time changed; zero if the report is for another order
      */
-    public Duration onAge(final RolloutAge heard) {
+    public Duration onAge(final RolloutAge reported) {
         final boolean ofThisOrder =
-                running()
-                        && order.get().target().equals(heard.target())
-                        && !firstPosition.isAfter(heard.position());
+                isRunning()
+                        && order.get().target().equals(reported.target())
+                        && !firstPosition.isAfter(reported.position());
         if (!ofThisOrder) {
-            told.onTold(heard.target());
+            reportedVersions.onReported(reported.target());
             return Duration.ZERO;
         }
-        final long before = begunAtMillis;
-        final long begun = clock.millis() - heard.millis();
-        begunAtMillis = steady ? Math.min(begunAtMillis, begun) : begun;
-        steady = true;
-        return Duration.ofMillis(before - begunAtMillis);
+        final long before = startMillis;
+        final long reportedStart = clock.millis() - reported.millis();
+        startMillis = startIsMonotonic ? Math.min(startMillis, reportedStart) : reportedStart;
+        startIsMonotonic = true;
+        return Duration.ofMillis(before - startMillis);
     }
 
     /**
-     * Tells whether a version may get a request.
+     * Tells whether a version may get a request; to be called before each attempt, since a version
+     * may be found bad between two attempts.
      *
-     * <p>A version may be found bad between two attempts of a request that was meant for it. One of
-     * which others tell as under roll-out gets nothing beside the one in use: a VM that starts
-     * while the store has lost the order would take it for one in use as well.
+     * <p>A version that other VMs report as being rolled out gets nothing if another one is in use:
+     * a VM that starts while the store has lost the order would otherwise treat both as in use.
      *
-     * @param version the version of a worker
-     * @param toNew what {@link #choose} said for this request
-     * @return true if so
+     * @param version the version of a backend server
+     * @param toNew the result of {@link #choose} for this request
+     * @return true if the version may get the request
      */
     public boolean admits(final String version, final boolean toNew) {
         if (toNew) {
-            return isTarget(version) && !bad.contains(version);
+            return isTarget(version) && !badVersions.contains(version);
         }
-        final boolean onlyOne = proven.size() == 1;
-        return proven.contains(version) && (onlyOne || !told.contains(version));
+        final boolean onlyOne = versionsInUse.size() == 1;
+        return versionsInUse.contains(version) && (onlyOne || !reportedVersions.contains(version));
     }
 
     /**
-     * Decides whether a request goes to the version under roll-out.
+     * Decides whether a request goes to the new version.
      *
-     * <p>A session must keep its version over its requests, and these may come through any VM: one
-     * that remembers which version a session ran on speaks for itself alone, and the next VM, or
-     * the same after a restart, moves the session. So nothing is remembered; the answer follows
-     * from the session's name, the order and the time since it, which all VMs have.
+     * <p>The requests of a session must keep to one version, although they may arrive through any
+     * VM and VMs restart. The decision therefore uses no memory of sessions: it depends only on the
+     * session's name, the order and the time since the order, which all VMs know.
      *
-     * <p>Law: over the time of a roll-out that is not halted, the answer for a session turns from
-     * the old version to the new one once and never back.
+     * <p>Invariant: over a rollout that is not halted, the decision for a session changes once,
+     * from the current version to the new one.
      *
-     * @param session the session that the request belongs to, empty if to none
+     * @param session the session that the request belongs to, empty if there is none
      * @param request the request's id
-     * @return the choice
+     * @return the decision
      */
     public VersionChoice choose(final Optional<String> session, final String request) {
-        if (!running()) {
+        if (!isRunning()) {
             return new VersionChoice(false, Reason.NO_ROLLOUT);
         }
         final CanaryPlan plan = plan();
         final Duration elapsed = elapsed();
-        if (plan.moving(elapsed)) {
+        if (plan.allTrafficMoved(elapsed)) {
             return new VersionChoice(true, Reason.LAST_PART);
         }
         if (session.isEmpty()) {
-            return new VersionChoice(draw(request) < plan.share(elapsed), Reason.DRAWN);
+            return new VersionChoice(hashFraction(request) < plan.share(elapsed), Reason.DRAWN);
         }
-        return plan.sessionsJoin(elapsed)
-                ? new VersionChoice(draw(session.get()) < plan.sessionShare(elapsed), Reason.DRAWN)
+        return plan.includesSessions(elapsed)
+                ? new VersionChoice(
+                        hashFraction(session.get()) < plan.sessionShare(elapsed), Reason.DRAWN)
                 : new VersionChoice(false, Reason.SESSIONS_STAY);
     }
 
     /**
-     * Notes a worker's answer.
+     * Adds the response of a backend server to the evidence.
      *
-     * @param server the worker
-     * @param version the worker's version
-     * @param failed whether the worker said that it failed
-     * @param paceMillis the time per event, or for the whole answer; not positive if not known
+     * @param server the backend server
+     * @param version the server's version
+     * @param failed whether the server reported a failure
+     * @param paceMillis the time per event, or of the whole response; milliseconds; not positive if
+     *     unknown
      */
     public void onResponse(
             final BackendServerId server,
@@ -319,31 +326,31 @@
             final boolean failed,
             final double paceMillis) {
         if (isTarget(version)) {
-            evidence.onNew(server, failed, paceMillis);
-            if (running() && evidence.bad()) {
-                bad.add(version);
+            evidence.onNewVersion(server, failed, paceMillis);
+            if (isRunning() && evidence.isBad()) {
+                badVersions.add(version);
             }
         } else {
-            evidence.onOld(failed, paceMillis);
+            evidence.onCurrentVersion(failed, paceMillis);
         }
     }
 
     /**
-     * Tells what the store should say of the order and does not yet.
+     * Returns the phase that is to be written to the store.
      *
-     * @return the phase to write, empty if nothing is to be written
+     * @return the phase, empty if the store is up to date or does not hold the order
      */
     public Optional<RolloutPhase> phaseToWrite() {
         if (order.isEmpty() || order.get().phase().ended() || !inStore) {
             return Optional.empty();
         }
-        if (verdict.isPresent()) {
-            return verdict;
+        if (endPhase.isPresent()) {
+            return endPhase;
         }
-        if (bad.contains(order.get().target())) {
+        if (badVersions.contains(order.get().target())) {
             return Optional.of(RolloutPhase.ROLLED_BACK);
         }
-        if (plan().complete(elapsed())) {
+        if (plan().isComplete(elapsed())) {
             return Optional.of(RolloutPhase.COMPLETED);
         }
         return order.get().phase() == RolloutPhase.ORDERED
@@ -356,13 +363,13 @@
     }
 
     /**
-     * Tells whether what is due to be written was in the store before it came back from a copy, so
-     * that all VMs find it due at once.
+     * Tells whether {@link #phaseToWrite()} was lost when the store was restored from a copy. All
+     * VMs then find it missing at the same time.
      *
-     * @return true if so
+     * @return true if the store held the order's end before
      */
     public boolean rewritesLostPhase() {
-        return verdict.isPresent();
+        return endPhase.isPresent();
     }
 
     /**
@@ -374,16 +381,18 @@
         return evidence.toString();
     }
 
-    private boolean running() {
-        return order.isPresent() && verdict.isEmpty() && !bad.contains(order.get().target());
+    private boolean isRunning() {
+        return order.isPresent()
+                && endPhase.isEmpty()
+                && !badVersions.contains(order.get().target());
     }
 
-    private boolean completed() {
-        return verdict.equals(Optional.of(RolloutPhase.COMPLETED));
+    private boolean isCompleted() {
+        return endPhase.equals(Optional.of(RolloutPhase.COMPLETED));
     }
 
     private boolean isTarget(final String version) {
-        return order.isPresent() && order.get().target().equals(version) && !completed();
+        return order.isPresent() && order.get().target().equals(version) && !isCompleted();
     }
 
     private CanaryPlan plan() {
@@ -396,10 +405,11 @@
      * @return the time, as far as this VM knows
      */
     public Duration elapsed() {
-        return Duration.ofMillis(clock.millis() - begunAtMillis);
+        return Duration.ofMillis(clock.millis() - startMillis);
     }
 
-    private double draw(final String name) {
+    /** Maps a name to [0, 1) by its hash, differently for each target. */
+    private double hashFraction(final String name) {
         final long bits = Rendezvous.weight(name, order.orElseThrow().target());
         return (bits >>> 11) * 0x1.0p-53;
     }
--- a/fennelstage-core/src/main/java/org/fennelstage/canary/CanaryEvidence.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/canary/CanaryEvidence.java
@@ -5,96 +5,106 @@
 import org.fennelstage.id.BackendServerId;
 
 /**
- * Weighs a new version's answers against the old one's.
+ * Decides from responses whether a new version is worse than the current one.
  *
- * <p>A cumulative sum of log likelihood ratios that never falls below zero: good answers given
- * early do not hide a version that turns bad later. Only what the workers themselves say counts, so
- * that a broken link or a killed worker does not speak against a version.
+ * <p>Uses a cumulative sum (CUSUM) of log likelihood ratios that never falls below zero, so that
+ * good responses do not hide a version that becomes bad later. Only responses of backend servers
+ * count; broken connections and stopped servers are no evidence against a version.
  *
  * <p>Not thread-safe.
  */
 public final class CanaryEvidence {
 
     /**
-     * Sum from which the version is bad: odds of about 400 to 1, two failures in a row where the
-     * old version hardly fails. In a large fleet a VM sees few answers of the new version before
-     * the whole fleet has had too many bad ones, so two must do.
+     * Sum from which the version is bad: odds of about 400 to 1, which two consecutive failures
+     * reach if the current version rarely fails. In a large fleet, each VM sees few responses of
+     * the new version before the fleet as a whole has exceeded the allowed share of failures.
      */
     private static final double BAD_SUM = 6;
 
-    /** Workers that must have failed: one alone may be broken and its version good. */
-    private static final int WORKERS_NEEDED = 2;
+    /** Number of backend servers with bad responses required, since a single one may be broken. */
+    private static final int MIN_BAD_SERVERS = 2;
 
-    /** Smallest failure share assumed of a good version. */
-    private static final double LEAST_USUAL_SHARE = 0.015;
+    /** Smallest failure rate that is assumed of a good version. */
+    private static final double MIN_USUAL_RATE = 0.015;
 
-    /** What a bad version fails beyond the usual; the least that matters to callers. */
+    /** How far the failure rate of a bad version exceeds that of a good one. */
     private static final double BAD_EXCESS = 0.3;
 
-    /** Weight of one answer of the old version in its failure share. */
-    private static final double OLD_WEIGHT = 0.02;
+    /** Weight of a response of the current version in its failure rate and pace. */
+    private static final double CURRENT_WEIGHT = 0.02;
 
-    /** An answer this many times slower than the old version's usual pace counts as bad. */
+    /** A response is bad if it is slower than the current version's pace by this factor. */
     private static final double SLOW_FACTOR = 3.5;
 
-    /** Answers of the old version before its pace is taken as known. */
-    private static final int PACES_NEEDED = 10;
+    /** Number of responses of the current version before its pace is compared. */
+    private static final int MIN_PACE_SAMPLES = 10;
 
-    private double oldFailures;
-    private double oldPaceMillis;
-    private int oldPaces;
+    private double currentFailureRate;
+    private double currentPaceMillis;
+    private int currentPaceSamples;
     private double sum;
-    private int newAnswers;
-    private int newBad;
-    private final Set<BackendServerId> badWorkers = new HashSet<>();
+    private int newResponses;
+    private int newBadResponses;
+    private final Set<BackendServerId> badServers = new HashSet<>();
 
     /**
-     * Notes an answer of the old version.
+     * Adds a response of the current version.
      *
-     * @param failed whether its worker said that it failed
-     * @param paceMillis the time per event, or for the whole answer; not positive if not known
+     * @param failed whether its backend server reported a failure
+     * @param paceMillis the time per event, or of the whole response; milliseconds; not positive if
+     *     unknown
      */
-    public void onOld(final boolean failed, final double paceMillis) {
-        oldFailures += OLD_WEIGHT * ((failed ? 1 : 0) - oldFailures);
+    public void onCurrentVersion(final boolean failed, final double paceMillis) {
+        currentFailureRate += CURRENT_WEIGHT * ((failed ? 1 : 0) - currentFailureRate);
         if (!failed && paceMillis > 0) {
-            oldPaces++;
-            final double weight = Math.max(1.0 / oldPaces, OLD_WEIGHT);
-            oldPaceMillis += weight * (paceMillis - oldPaceMillis);
+            currentPaceSamples++;
+            final double weight = Math.max(1.0 / currentPaceSamples, CURRENT_WEIGHT);
+            currentPaceMillis += weight * (paceMillis - currentPaceMillis);
         }
     }
 
     /**
-     * Notes an answer of the new version.
+     * Adds a response of the new version.
      *
-     * @param server the worker
-     * @param failed whether its worker said that it failed
-     * @param paceMillis as for the old version
+     * @param server its backend server
+     * @param failed whether the server reported a failure
+     * @param paceMillis the time per event, or of the whole response; milliseconds; not positive if
+     *     unknown
      */
-    public void onNew(final BackendServerId server, final boolean failed, final double paceMillis) {
-        final boolean slow = oldPaces >= PACES_NEEDED && paceMillis > SLOW_FACTOR * oldPaceMillis;
-        final boolean isBad = failed || slow;
-        final double usual = Math.max(LEAST_USUAL_SHARE, 1.5 * oldFailures);
-        final double bad = Math.min(0.95, usual + BAD_EXCESS);
-        final double ratio = isBad ? bad / usual : (1 - bad) / (1 - usual);
+    public void onNewVersion(
+            final BackendServerId server, final boolean failed, final double paceMillis) {
+        final boolean slow =
+                currentPaceSamples >= MIN_PACE_SAMPLES
+                        && paceMillis > SLOW_FACTOR * currentPaceMillis;
+        final boolean badResponse = failed || slow;
+        final double usualRate = Math.max(MIN_USUAL_RATE, 1.5 * currentFailureRate);
+        final double badRate = Math.min(0.95, usualRate + BAD_EXCESS);
+        final double ratio = badResponse ? badRate / usualRate : (1 - badRate) / (1 - usualRate);
         sum = Math.max(0, sum + Math.log(ratio));
-        newAnswers++;
-        if (isBad) {
-            newBad++;
-            badWorkers.add(server);
+        newResponses++;
+        if (badResponse) {
+            newBadResponses++;
+            badServers.add(server);
         }
     }
 
     /**
-     * Tells whether the version is found bad.
+     * Tells whether the new version is bad by the present evidence.
      *
-     * @return true once; it stays true until a good run outweighs it
+     * @return true until good responses have reduced the sum below its limit again
      */
-    public boolean bad() {
-        return sum >= BAD_SUM && badWorkers.size() >= WORKERS_NEEDED;
+    public boolean isBad() {
+        return sum >= BAD_SUM && badServers.size() >= MIN_BAD_SERVERS;
     }
 
     @Override
     public String toString() {
-        return "answers=" + newAnswers + " bad=" + newBad + " sum=" + Math.round(sum * 10) / 10.0;
+        return "answers="
+                + newResponses
+                + " bad="
+                + newBadResponses
+                + " sum="
+                + Math.round(sum * 10) / 10.0;
     }
 }
--- a/fennelstage-core/src/main/java/org/fennelstage/canary/CanaryPlan.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/canary/CanaryPlan.java
@@ -3,96 +3,91 @@
 import java.time.Duration;
 
 /**
- * The share of requests that the new version gets over the time of a roll-out.
+ * The share of requests that the new version gets over the duration of a rollout.
  *
- * <p>A version may turn bad late or under load, so nothing seen early proves it good. The share
- * therefore stays small until shortly before the end and all traffic moves then: if the version
- * turns out bad even after the move, its requests over the whole time are still within the allowed
- * share. With the allowed share 0.15: requests without a session 0.07 for 92 in 100 of the time and
- * all of them after it, 0.14; those of sessions 0.12 for 37 in 100 of the time and then all, 0.12.
+ * <p>A version may become bad late or under load. Its share therefore stays small until shortly
+ * before the end, when all traffic moves: even if the version is bad after the move, its requests
+ * over the whole duration stay within the allowed share. For an allowed share of 0.15, requests
+ * without a session get 0.07 during the first 92 % of the duration and then 1, 0.14 on average;
+ * sessions get 0.12 from 55 % to 92 % and then 1, 0.12 on average.
  *
- * <p>Sessions join after the first half only. A session that is under way when the order comes has
- * to keep its version for that long, and no VM can tell it from one that has just begun: it may
- * come from any other VM. So the plan knows no sessions, only the time and a draw on the name,
- * which give the same answer at all VMs.
+ * <p>Sessions join only after the first half, since a session that runs when the order is given
+ * must keep its version for that long. No VM can tell it from a new session, whose requests may
+ * arrive through any VM. The share therefore depends on the time alone, which gives the same result
+ * at all VMs.
  *
- * <p>Laws: the share of sessions never falls, so a session that has moved does not move back;
- * {@code share} of either kind, averaged over the time, is below the allowed share.
+ * <p>Invariants: the share of sessions never decreases, so that no session moves back; {@code
+ * share} and {@code sessionShare}, averaged over the duration, are below the allowed share.
  *
  * <p>Immutable and thread-safe.
  *
- * @param duration the time by which the roll-out is to be decided
- * @param allowedShare the largest part of all requests that a bad version may get
+ * @param duration the time after the order by which the rollout is to be completed or halted
+ * @param allowedShare the largest share of all requests that a bad version may get
  */
 public record CanaryPlan(Duration duration, double allowedShare) {
 
-    /**
-     * Part of the allowed share that requests without a session get before the move; the rest pays
-     * for the move.
-     */
-    private static final double EARLY_PART = 0.47;
+    /** Share of requests without a session before the move, as a part of the allowed share. */
+    private static final double REQUEST_PART = 0.47;
 
     /**
-     * Part of the allowed share that sessions get from their begin to the move. More at a time than
-     * the others, since they have less than half of the time to show a bad version, and 0.8 of the
-     * allowed share over the whole time.
+     * Share of sessions before the move, as a part of the allowed share. It exceeds that of other
+     * requests because sessions have less than half of the duration to reveal a bad version.
      */
     private static final double SESSION_PART = 0.8;
 
     /**
-     * When sessions join, as a part of the roll-out's time: half of it, and as much after it as VMs
-     * may differ in their view of the time passed, so that none joins in the first half by
-     * anybody's clock.
+     * When sessions join, as a part of the duration: after the first half, with a margin for
+     * differences between the VMs in the elapsed time.
      */
     private static final double SESSIONS_FROM = 0.55;
 
-    /** Part of the allowed share that the move may use up; the rest is for uneven traffic. */
+    /** Part of the allowed share that the final move may use; the rest covers uneven traffic. */
     private static final double MOVE_PART = 0.5;
 
     /**
-     * How long before the end of the time the completion is written; milliseconds. Whoever gave the
-     * order has to read it in time, VMs write it one after the other, and hear of the order some
-     * time after it was given. Written later, good versions count as late.
+     * How long before the end of the duration the completion is written; milliseconds. The margin
+     * covers the delay until VMs receive the order, write the completion one after the other, and
+     * the operator reads it.
      */
-    private static final long TO_SPARE_MILLIS = 750;
+    private static final long COMPLETION_MARGIN_MILLIS = 750;
 
     /**
-     * The same as a part of the move at most, for short roll-outs: work in flight gets the rest of
-     * the move before the old version's workers stop, and the new version shows how it bears it
-     * all.
+     * Largest margin as a part of the final move. In short rollouts, the rest of the move lets
+     * requests in flight end before the current version's backend servers stop, and exposes the new
+     * version to the full load.
      */
-    private static final double MOST_TO_SPARE_PART_OF_MOVE = 0.65;
+    private static final double MAX_MARGIN_PART_OF_MOVE = 0.65;
 
     /**
-     * Returns the share of requests that belong to no session.
+     * Returns the new version's share of requests that belong to no session.
      *
      * @param elapsed the time since the order
      * @return the share in [0, 1]
      */
     public double share(final Duration elapsed) {
-        return moving(elapsed) ? 1 : allowedShare * EARLY_PART;
+        return allTrafficMoved(elapsed) ? 1 : allowedShare * REQUEST_PART;
     }
 
     /**
-     * Returns the share of sessions.
+     * Returns the new version's share of sessions.
      *
      * @param elapsed the time since the order
      * @return the share in [0, 1]
      */
     public double sessionShare(final Duration elapsed) {
-        if (moving(elapsed)) {
+        if (allTrafficMoved(elapsed)) {
             return 1;
         }
-        return sessionsJoin(elapsed) ? allowedShare * SESSION_PART : 0;
+        return includesSessions(elapsed) ? allowedShare * SESSION_PART : 0;
     }
 
     /**
-     * Tells whether sessions take part in the roll-out yet.
+     * Tells whether sessions take part in the rollout.
      *
      * @param elapsed the time since the order
-     * @return false in its first half and shortly after it
+     * @return false in the first half of the duration and shortly after it
      */
-    public boolean sessionsJoin(final Duration elapsed) {
+    public boolean includesSessions(final Duration elapsed) {
         return elapsed.toMillis() >= duration.toMillis() * SESSIONS_FROM;
     }
 
@@ -100,9 +95,9 @@
      * Tells whether all traffic goes to the new version.
      *
      * @param elapsed the time since the order
-     * @return true in the last part of the roll-out
+     * @return true in the final part of the duration
      */
-    public boolean moving(final Duration elapsed) {
+    public boolean allTrafficMoved(final Duration elapsed) {
         return elapsed.toMillis() >= moveAtMillis();
     }
 
@@ -110,12 +105,13 @@
      * Tells whether the completion is to be written.
      *
      * @param elapsed the time since the order
-     * @return true once all traffic has moved and old work had time to end
+     * @return true once all traffic has moved and earlier requests have had time to end
      */
-    public boolean complete(final Duration elapsed) {
-        final double move = duration.toMillis() - moveAtMillis();
-        final double toSpare = Math.min(TO_SPARE_MILLIS, move * MOST_TO_SPARE_PART_OF_MOVE);
-        return elapsed.toMillis() >= duration.toMillis() - toSpare;
+    public boolean isComplete(final Duration elapsed) {
+        final double moveMillis = duration.toMillis() - moveAtMillis();
+        final double marginMillis =
+                Math.min(COMPLETION_MARGIN_MILLIS, moveMillis * MAX_MARGIN_PART_OF_MOVE);
+        return elapsed.toMillis() >= duration.toMillis() - marginMillis;
     }
 
     private double moveAtMillis() {
--- a/fennelstage-core/src/main/java/org/fennelstage/canary/EndedOrders.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/canary/EndedOrders.java
@@ -5,11 +5,11 @@
 import java.util.Optional;
 
 /**
- * How the orders of one service ended, as far as this VM has heard.
+ * The ended rollout orders of one service that this VM knows.
  *
- * <p>A store that comes back from an older copy may say that an order runs which has ended. A copy
- * cannot hold a later state of an order than was heard of it, so an order at a higher revision is
- * another one for the same version. Not thread-safe.
+ * <p>A store that was restored from an older copy may hold an ended order as running. It cannot
+ * hold a later state of an order than the one known here, so an order at a higher revision is a new
+ * order for the same version. Not thread-safe.
  */
 final class EndedOrders {
 
@@ -21,20 +21,20 @@
         return new EndedOrders();
     }
 
-    /** Notes an order that has ended. */
+    /** Records an order that has ended. */
     void onEnded(final RolloutOrder order) {
         byTarget.put(order.target(), order);
     }
 
     /**
-     * Returns how an order ended of which a copy of the store speaks.
+     * Returns how an order ended that was read from a restored store.
      *
-     * @param inCopy the order as the store has it in a later era
-     * @return its end, empty if this VM knows none or the order was given after it
+     * @param restored the order as the store holds it in a later era
+     * @return its last phase, empty if this VM knows no end of it
      */
-    Optional<RolloutPhase> endOf(final RolloutOrder inCopy) {
-        return Optional.ofNullable(byTarget.get(inCopy.target()))
-                .filter(known -> inCopy.position().revision() <= known.position().revision())
+    Optional<RolloutPhase> endOf(final RolloutOrder restored) {
+        return Optional.ofNullable(byTarget.get(restored.target()))
+                .filter(known -> restored.position().revision() <= known.position().revision())
                 .map(RolloutOrder::phase);
     }
 
--- a/fennelstage-core/src/main/java/org/fennelstage/canary/RolloutAge.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/canary/RolloutAge.java
@@ -5,14 +5,14 @@
 import org.fennelstage.id.ServiceName;
 
 /**
- * How long ago an order to roll a version out was given, by steady clocks. Immutable and
+ * The age of a rollout order by monotonic clocks, as VMs report it to each other. Immutable and
  * thread-safe.
  *
  * @param service the service
  * @param target the new version
- * @param position the newest position of the order that its sender knows; of an earlier order for
- *     the same version it is before any of this one
- * @param millis the age; milliseconds
+ * @param position the newest position of the order that the sender knows; tells the order from
+ *     earlier ones for the same version, whose positions are lower
+ * @param millis the time since the order was given; milliseconds
  */
 public record RolloutAge(ServiceName service, String target, Position position, long millis) {
 
--- a/fennelstage-core/src/main/java/org/fennelstage/canary/RolloutOrder.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/canary/RolloutOrder.java
@@ -8,14 +8,15 @@
 import org.fennelstage.id.ServiceName;
 
 /**
- * An operator's order to move a service to a version, with its state. Immutable and thread-safe.
+ * An operator's order to move a service to a new version, with its present state. Immutable and
+ * thread-safe.
  *
  * @param service the service
  * @param target the new version
- * @param duration the time after the order by which it is to be decided
- * @param phase how far it has come
- * @param begunAt when a VM first noted it, by that VM's time of day; empty if none has
- * @param position where in the store's history this was written
+ * @param duration the time after the order by which the rollout is to be completed or halted
+ * @param phase the present phase
+ * @param begunAt when a VM first recorded the order, by that VM's wall clock; empty if none has
+ * @param position the position at which this state was written to the store
  */
 public record RolloutOrder(
         ServiceName service,
--- a/fennelstage-core/src/main/java/org/fennelstage/canary/RolloutPhase.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/canary/RolloutPhase.java
@@ -1,20 +1,20 @@
 package org.fennelstage.canary;
 
-/** How far a roll-out has come, as its object in the store says. */
+/** The phase of a rollout, as stored with its order. */
 public enum RolloutPhase {
-    /** Ordered; no VM has noted its begin yet. */
+    /** The order was given; no VM has recorded its start yet. */
     ORDERED,
-    /** A part of the traffic goes to the new version. */
+    /** Part of the traffic goes to the new version. */
     IN_PROGRESS,
-    /** All traffic goes to the new version; the old one's workers are stopped. */
+    /** All traffic goes to the new version, and the former version's backend servers stop. */
     COMPLETED,
-    /** No traffic goes to the new version. */
+    /** The rollout was halted, and no traffic goes to the new version. */
     ROLLED_BACK;
 
     /**
-     * Tells whether the roll-out has ended.
+     * Tells whether the rollout has ended.
      *
-     * @return true if nothing changes any more
+     * @return true if the phase is final
      */
     public boolean ended() {
         return this == COMPLETED || this == ROLLED_BACK;
--- a/fennelstage-core/src/main/java/org/fennelstage/canary/VersionChoice.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/canary/VersionChoice.java
@@ -3,24 +3,24 @@
 import java.util.Objects;
 
 /**
- * Which of a service's versions a request is meant for, and what decided it.
+ * The decision whether a request goes to the new version of a service, with its reason.
  *
  * <p>Immutable and thread-safe.
  *
- * @param toNew whether it is the version under roll-out
- * @param reason what decided it
+ * @param toNew whether the request goes to the new version
+ * @param reason why
  */
 public record VersionChoice(boolean toNew, Reason reason) {
 
-    /** What decides on a version. */
+    /** The reason of a decision; written to the log by name. */
     public enum Reason {
-        /** No roll-out is running here: none was ordered, or it ended or was halted. */
+        /** No rollout runs at this VM: none was ordered, or it was completed or halted. */
         NO_ROLLOUT,
-        /** The last part of the roll-out, in which all traffic moves. */
+        /** The final part of the rollout has begun, in which all traffic moves. */
         LAST_PART,
-        /** Sessions take no part in the roll-out yet. */
+        /** Sessions do not take part in the rollout yet. */
         SESSIONS_STAY,
-        /** The name of the session or request, against the share of the new version. */
+        /** The hash of the session's or request's name was compared with the share. */
         DRAWN
     }
 
--- a/fennelstage-core/src/main/java/org/fennelstage/canary/package-info.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/canary/package-info.java
@@ -1,2 +1,2 @@
-/** How much of a service's traffic a new version gets, and when it is found bad or good. */
+/** Canary rollouts: the traffic that a new version gets, and when it is halted or completed. */
 package org.fennelstage.canary;
--- a/fennelstage-core/src/test/java/org/fennelstage/canary/CanaryTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/canary/CanaryTest.java
@@ -34,7 +34,7 @@
                 Position.of(0, revision));
     }
 
-    private static BackendServerId worker(final int number) {
+    private static BackendServerId server(final int number) {
         return BackendServerId.of("i-" + number % 5);
     }
 
@@ -52,18 +52,15 @@
     }
 
     @Test
-    void aVersionThatMayBelongToAnUnknownOrderGetsNothing() {
+    void aVersionThatMayBelongToAnUnknownOrderGetsNoRequests() {
         canary.onVersionWithoutOrder("v1");
         assertThat(canary.admits("v1", false)).isTrue();
         assertThat(canary.admits("v2", false)).isFalse();
     }
 
-    /**
-     * Symptom: a bad version gets more than its share of a service's requests. Cause: the share was
-     * kept at each moment but not over the whole time with the move at the end.
-     */
+    /** Guards against a bad version that exceeds its share through the move at the end. */
     @Test
-    void overTheWholeTimeTheNewVersionGetsLessThanTheAllowedShare() {
+    void sessionsOfTheNewVersionStayBelowTheAllowedShare() {
         begin();
         int moved = 0;
         final int requests = 24_000;
@@ -74,12 +71,9 @@
         assertThat(moved / (double) requests).isBetween(0.1, SHARE);
     }
 
-    /**
-     * Symptom: a good version is not completed in time. Cause: the completion waited for evidence
-     * that a quiet VM never has.
-     */
+    /** Guards against a late completion on a VM with too little traffic for evidence. */
     @Test
-    void withoutBadAnswersTheVersionIsCompletedBeforeItsTimeIsOver() {
+    void aVersionWithoutBadResponsesIsCompletedBeforeTheEnd() {
         begin();
         now.addAndGet(DURATION.toMillis() - 300);
         assertThat(toNew("any")).isTrue();
@@ -87,93 +81,84 @@
     }
 
     @Test
-    void twoFailuresInARowAtTwoWorkersEndTheRolloutHereAtOnce() {
+    void twoConsecutiveFailuresAtTwoServersHaltTheRollout() {
         begin();
         for (int i = 0; i < 2; i++) {
-            canary.onResponse(worker(i), "v2", true, 0);
+            canary.onResponse(server(i), "v2", true, 0);
         }
         assertThat(canary.phaseToWrite()).contains(RolloutPhase.ROLLED_BACK);
         now.addAndGet(DURATION.toMillis());
         assertThat(toNew("any")).isFalse();
     }
 
-    /**
-     * Symptom: a version that turns bad late is completed. Cause: many good answers given before
-     * outweighed the bad ones.
-     */
+    /** Guards against the completion of a version that becomes bad after many good responses. */
     @Test
-    void goodAnswersGivenEarlyDoNotHideAVersionThatTurnsBad() {
+    void earlyGoodResponsesDoNotHideAVersionThatBecomesBad() {
         begin();
         for (int i = 0; i < 500; i++) {
-            canary.onResponse(worker(i), "v2", false, 0);
+            canary.onResponse(server(i), "v2", false, 0);
         }
         for (int i = 0; i < 4; i++) {
-            canary.onResponse(worker(i), "v2", true, 0);
+            canary.onResponse(server(i), "v2", true, 0);
         }
         assertThat(canary.phaseToWrite()).contains(RolloutPhase.ROLLED_BACK);
     }
 
     @Test
-    void aVersionEightTimesSlowerThanTheOldOneIsBad() {
+    void aVersionEightTimesSlowerThanTheCurrentOneIsBad() {
         begin();
         for (int i = 0; i < 20; i++) {
-            canary.onResponse(worker(i), "v1", false, 50);
+            canary.onResponse(server(i), "v1", false, 50);
         }
         for (int i = 0; i < 3; i++) {
-            canary.onResponse(worker(i), "v2", false, 400);
+            canary.onResponse(server(i), "v2", false, 400);
         }
         assertThat(canary.phaseToWrite()).contains(RolloutPhase.ROLLED_BACK);
     }
 
-    /**
-     * Symptom: a good version is rolled back. Events: one of its workers breaks and fails every
-     * request. Cause: a worker's failures taken for its version's.
-     */
+    /** Guards against the halt of a good version because one of its servers is broken. */
     @Test
-    void failuresOfOneWorkerAloneDoNotEndTheRollout() {
+    void failuresOfASingleServerDoNotHaltTheRollout() {
         begin();
         for (int i = 0; i < 20; i++) {
-            canary.onResponse(worker(1), "v2", true, 0);
+            canary.onResponse(server(1), "v2", true, 0);
         }
         assertThat(canary.phaseToWrite()).contains(RolloutPhase.IN_PROGRESS);
     }
 
     @Test
-    void failuresThatTheOldVersionHasAsOftenDoNotEndTheRollout() {
+    void failuresAsFrequentAsInTheCurrentVersionDoNotHaltTheRollout() {
         begin();
         for (int i = 0; i < 400; i++) {
-            canary.onResponse(worker(i), "v1", i % 7 == 0, 0);
-            canary.onResponse(worker(i), "v2", i % 7 == 0, 0);
+            canary.onResponse(server(i), "v1", i % 7 == 0, 0);
+            canary.onResponse(server(i), "v2", i % 7 == 0, 0);
         }
         assertThat(canary.phaseToWrite()).contains(RolloutPhase.IN_PROGRESS);
     }
 
     /**
-     * Symptom: requests of one session run on two versions. Events: the session ran on the old
-     * version, the order comes, its key falls into the new version's share. Cause: the key alone
-     * decided from the order on, and what a VM remembered of the session was lost with the VM, or
-     * known to no other.
+     * Guards against sessions that change their version as soon as the order is given, or at a VM
+     * that did not serve them before.
      */
     @Test
-    void aSessionThatRanOnTheOldVersionStaysThereThroughTheFirstHalfAtEveryVm() {
+    void sessionsStayOnTheCurrentVersionInTheFirstHalfAtEveryVm() {
         begin();
-        final Canary neverAsked = Canary.of(now::get, SHARE);
-        neverAsked.onOrder(order(RolloutPhase.IN_PROGRESS, 1), Duration.ZERO);
+        final Canary otherVm = Canary.of(now::get, SHARE);
+        otherVm.onOrder(order(RolloutPhase.IN_PROGRESS, 1), Duration.ZERO);
         for (int i = 0; i < 1_000; i++) {
             now.set(1_000_000 + i * DURATION.toMillis() / 2_000);
             assertThat(toNew("session-" + i)).isFalse();
-            assertThat(toNew(neverAsked, "session-" + i)).isFalse();
+            assertThat(toNew(otherVm, "session-" + i)).isFalse();
         }
     }
 
     /**
-     * Symptom: a session changes its version to and fro. Events: its requests come through VMs that
-     * heard of the order at different times, and through VMs that start in the middle. Cause: VMs
-     * chose by what each had seen of the session. What may remain are requests closer together than
-     * the VMs' views of the time, 200 ms here.
+     * Guards against sessions that change back and forth between VMs that received the order at
+     * different times or started during the rollout. Requests of one session within 200 ms, the
+     * difference between the VMs' elapsed times here, may still differ.
      */
     @Test
-    void overAWholeRolloutASessionChangesItsVersionOnceAndNeverBack() {
+    void aSessionChangesItsVersionOnceInARollout() {
         final long step = 200;
         final Random random = new Random(7);
         final List<Canary> vms = new ArrayList<>();
@@ -188,7 +173,7 @@
                 final String session = "session-" + i;
                 final boolean isNew = toNew(vms.get(random.nextInt(vms.size())), session);
                 if (at > DURATION.toMillis() / 2 + step) {
-                    assertThat(isNew || !settled(moved, session, at, step)).isTrue();
+                    assertThat(isNew || !mustStayMoved(moved, session, at, step)).isTrue();
                 } else {
                     assertThat(isNew).isFalse();
                 }
@@ -200,8 +185,8 @@
         assertThat(moved).hasSize(300);
     }
 
-    /** A session that moved may be sent back only while VMs pass the same moment one by one. */
-    private static boolean settled(
+    /** Tells whether a session has moved and all VMs apply the same share of sessions. */
+    private static boolean mustStayMoved(
             final Set<String> moved, final String session, final long at, final long step) {
         final CanaryPlan plan = new CanaryPlan(DURATION, SHARE);
         final boolean sameForAll =
@@ -218,11 +203,11 @@
     }
 
     /**
-     * Symptom: a bad version is found only in the second half of its time. Cause: requests that
-     * belong to no session waited for sessions; they have no version to keep.
+     * Guards against late detection of a bad version because requests without a session wait for
+     * the sessions.
      */
     @Test
-    void requestsWithoutSessionGoToTheNewVersionFromTheOrderOn() {
+    void requestsWithoutSessionGoToTheNewVersionFromTheStart() {
         begin();
         int moved = 0;
         for (int i = 0; i < 10_000; i++) {
@@ -232,7 +217,7 @@
     }
 
     @Test
-    void requestsWithoutSessionGetLessThanTheAllowedShareOfTheNewVersionOverTheWholeTime() {
+    void requestsWithoutSessionStayBelowTheAllowedShare() {
         begin();
         int moved = 0;
         final int requests = 24_000;
@@ -243,23 +228,19 @@
         assertThat(moved / (double) requests).isBetween(0.1, SHARE);
     }
 
-    /**
-     * Symptom: a request is sent to a version that is known to be bad. Events: its first attempt
-     * goes to the new version, the version is found bad, the attempt fails. Cause: what the request
-     * was meant for was not weighed again.
-     */
+    /** Guards against retries at a version that was found bad after the first attempt. */
     @Test
-    void aVersionFoundBadGetsNoFurtherAttemptOfARequestThatWasMeantForIt() {
+    void aBadVersionGetsNoFurtherAttemptOfARequest() {
         begin();
         assertThat(canary.admits("v2", true)).isTrue();
         for (int i = 0; i < 2; i++) {
-            canary.onResponse(worker(i), "v2", true, 0);
+            canary.onResponse(server(i), "v2", true, 0);
         }
         assertThat(canary.admits("v2", true)).isFalse();
     }
 
     @Test
-    void afterACompletionOnlyTheTargetGetsRequests() {
+    void afterCompletionOnlyTheTargetGetsRequests() {
         begin();
         canary.onOrder(order(RolloutPhase.COMPLETED, 2), DURATION);
         canary.onVersionWithoutOrder("v1");
@@ -267,10 +248,7 @@
         assertThat(canary.admits("v1", toNew("any"))).isFalse();
     }
 
-    /**
-     * Symptom: a completed roll-out begins anew. Events: the state is heard twice, by a list and by
-     * a watch, the older last. Cause: the revisions were not compared.
-     */
+    /** Guards against the restart of a completed rollout by an older state that arrives later. */
     @Test
     void anOlderStateOfTheSameOrderChangesNothing() {
         begin();
@@ -281,7 +259,7 @@
     }
 
     @Test
-    void afterARollBackTheTargetGetsNothing() {
+    void afterARollbackTheTargetGetsNoRequests() {
         begin();
         canary.onOrder(order(RolloutPhase.ROLLED_BACK, 2), DURATION);
         canary.onVersionWithoutOrder("v2");
@@ -289,18 +267,15 @@
         assertThat(canary.admits("v1", toNew("any"))).isTrue();
     }
 
-    /**
-     * Symptom: after all VMs were killed in the middle of a roll-out, the completion comes too
-     * late. Cause: the time already passed was lost with the memory.
-     */
+    /** Guards against a late completion after all VMs restarted during a rollout. */
     @Test
-    void aVmThatStartsInTheMiddleGoesOnFromTheTimePassed() {
+    void aVmThatStartsDuringARolloutContinuesAtTheElapsedTime() {
         canary.onVersionWithoutOrder("v1");
         canary.onOrder(order(RolloutPhase.IN_PROGRESS, 2), Duration.ofMillis(23_800));
         assertThat(canary.phaseToWrite()).contains(RolloutPhase.COMPLETED);
     }
 
-    private static RolloutOrder begunOrder(final long revision) {
+    private static RolloutOrder orderInProgress(final long revision) {
         return new RolloutOrder(
                 ServiceName.of("models"),
                 "v2",
@@ -311,30 +286,24 @@
     }
 
     /**
-     * Symptom: sessions change their version in the first half of a roll-out, through one VM.
-     * Events: the VM is stopped and started in the middle; its time of day is 6 s ahead of that of
-     * the VM that wrote when the roll-out began. Cause: each VM that starts reckoned the time since
-     * the order by its own time of day.
+     * Guards against sessions that move too early through a VM that restarted with a wrong clock.
      */
     @Test
-    void aVmThatStartsWithAWrongTimeOfDayTakesTheAgeOfTheOrderFromOneThatHeardIt() {
+    void aVmWithAWrongWallClockUsesTheAgeReportedByAnotherVm() {
         begin();
         now.addAndGet(9_000);
         final Canary started = Canary.of(now::get, SHARE);
-        started.onOrder(begunOrder(2), Duration.ofMillis(15_000));
+        started.onOrder(orderInProgress(2), Duration.ofMillis(15_000));
         assertThat(started.age()).isEmpty();
-        canary.onOrder(begunOrder(2), Duration.ZERO);
+        canary.onOrder(orderInProgress(2), Duration.ZERO);
         assertThat(started.onAge(canary.age().orElseThrow())).hasMillis(-6_000);
         assertThat(started.elapsed()).hasMillis(9_000);
         assertThat(started.age()).isPresent();
     }
 
-    /**
-     * Symptom: a VM sends sessions back to the old version. Events: it stands still for 3 s and
-     * goes on. Cause: its steady clock did not count that time.
-     */
+    /** Guards against sessions that move back at a VM that was suspended. */
     @Test
-    void aVmThatStoodStillTakesTheOlderAgeAndNeverTheYounger() {
+    void aHigherReportedAgeReplacesTheOwnOneAndALowerOneDoesNot() {
         begin();
         now.addAndGet(9_000);
         canary.onAge(new RolloutAge(ServiceName.of("models"), "v2", Position.of(0, 1), 12_000));
@@ -344,7 +313,7 @@
     }
 
     @Test
-    void theAgeOfAnotherOrderOrOfAnEarlierOneForTheSameVersionChangesNothing() {
+    void theAgeOfAnotherOrEarlierOrderChangesNothing() {
         canary.onVersionWithoutOrder("v1");
         canary.onOrder(order(RolloutPhase.ORDERED, 10), Duration.ZERO);
         canary.onAge(new RolloutAge(ServiceName.of("models"), "v2", Position.of(0, 9), 12_000));
@@ -363,65 +332,56 @@
                 Position.of(era, revision));
     }
 
-    private void hear(final RolloutOrder order) {
+    private void receive(final RolloutOrder order) {
         canary.onOrder(order, Duration.ZERO);
     }
 
-    /**
-     * Symptom: a roll-out never begins. Events: the store comes back from a copy, and an order is
-     * given at a lower revision than the last. Cause: revisions of two eras were compared.
-     */
+    /** Guards against a rollout that never starts because revisions of two eras are compared. */
     @Test
-    void anOrderOfALaterEraCountsAtALowerRevision() {
+    void anOrderOfALaterEraIsNewerAtALowerRevision() {
         canary.onVersionWithoutOrder("v1");
-        hear(order("v2", RolloutPhase.COMPLETED, 1, 100));
+        receive(order("v2", RolloutPhase.COMPLETED, 1, 100));
         canary.onStoreRestored();
-        hear(order("v3", RolloutPhase.ORDERED, 2, 70));
+        receive(order("v3", RolloutPhase.ORDERED, 2, 70));
         assertThat(canary.admits("v3", true)).isTrue();
         assertThat(canary.phaseToWrite()).contains(RolloutPhase.IN_PROGRESS);
     }
 
-    /**
-     * Symptom: a version found bad gets requests again. Events: its halt is lost with the store's
-     * last seconds. Cause: the halt stood in the store alone, and nobody wrote it again.
-     */
+    /** Guards against requests to a bad version after the store has lost its halt. */
     @Test
-    void aHaltThatTheStoreLostStaysAndIsDueOnceTheStoreSpeaksOfTheOrder() {
+    void aHaltThatTheStoreLostStaysAndIsRewrittenOnceTheStoreHoldsTheOrder() {
         begin();
-        hear(order("v2", RolloutPhase.ROLLED_BACK, 0, 9));
+        receive(order("v2", RolloutPhase.ROLLED_BACK, 0, 9));
         canary.onStoreRestored();
         assertThat(canary.phaseToWrite()).isEmpty();
         assertThat(canary.age()).isPresent();
-        hear(order("v2", RolloutPhase.IN_PROGRESS, 1, 5));
+        receive(order("v2", RolloutPhase.IN_PROGRESS, 1, 5));
         assertThat(canary.admits("v2", true)).isFalse();
         assertThat(canary.phaseToWrite()).contains(RolloutPhase.ROLLED_BACK);
         assertThat(canary.rewritesLostPhase()).isTrue();
-        hear(order("v2", RolloutPhase.ROLLED_BACK, 1, 6));
+        receive(order("v2", RolloutPhase.ROLLED_BACK, 1, 6));
         assertThat(canary.phaseToWrite()).isEmpty();
         assertThat(canary.age()).isEmpty();
     }
 
     @Test
-    void aVersionHaltedInAFormerEraRunsOnANewOrderGivenAfterItsHaltIsInTheStoreAgain() {
+    void aVersionHaltedInAFormerEraIsAdmittedByANewOrder() {
         begin();
-        hear(order("v2", RolloutPhase.ROLLED_BACK, 0, 9));
+        receive(order("v2", RolloutPhase.ROLLED_BACK, 0, 9));
         canary.onStoreRestored();
-        hear(order("v2", RolloutPhase.IN_PROGRESS, 1, 5));
-        hear(order("v2", RolloutPhase.ROLLED_BACK, 1, 6));
-        hear(order("v2", RolloutPhase.ORDERED, 1, 7));
+        receive(order("v2", RolloutPhase.IN_PROGRESS, 1, 5));
+        receive(order("v2", RolloutPhase.ROLLED_BACK, 1, 6));
+        receive(order("v2", RolloutPhase.ORDERED, 1, 7));
         assertThat(canary.admits("v2", true)).isTrue();
     }
 
-    /**
-     * Symptom: no worker is left for a service. Events: a completed roll-out runs again in the
-     * copy; the old version's workers have stopped. Cause: the version was no longer in use.
-     */
+    /** Guards against requests to stopped servers after the store has lost a completion. */
     @Test
-    void aCompletionThatTheStoreLostStaysAndIsDue() {
+    void aCompletionThatTheStoreLostStaysAndIsRewritten() {
         begin();
-        hear(order("v2", RolloutPhase.COMPLETED, 0, 9));
+        receive(order("v2", RolloutPhase.COMPLETED, 0, 9));
         canary.onStoreRestored();
-        hear(order("v2", RolloutPhase.IN_PROGRESS, 1, 5));
+        receive(order("v2", RolloutPhase.IN_PROGRESS, 1, 5));
         assertThat(canary.admits("v2", false)).isTrue();
         assertThat(toNew("any")).isFalse();
         assertThat(canary.phaseToWrite()).contains(RolloutPhase.COMPLETED);
@@ -429,36 +389,37 @@
         assertThat(canary.admits("v1", false)).isFalse();
     }
 
-    /** The order before the present one, which the copy still holds, ends nothing. */
+    /**
+     * Guards against the end of a rollout by the order before it, which the restored store holds.
+     */
     @Test
-    void anOlderOrderThatTheCopySpeaksOfInsteadChangesNothing() {
-        hear(order("v1", RolloutPhase.COMPLETED, 1, 10));
-        hear(order("v2", RolloutPhase.ORDERED, 1, 80));
+    void anOlderOrderInARestoredStoreChangesNothing() {
+        receive(order("v1", RolloutPhase.COMPLETED, 1, 10));
+        receive(order("v2", RolloutPhase.ORDERED, 1, 80));
         now.addAndGet(5_000);
         canary.onStoreRestored();
-        hear(order("v1", RolloutPhase.COMPLETED, 2, 10));
-        hear(order("v1", RolloutPhase.IN_PROGRESS, 2, 11));
+        receive(order("v1", RolloutPhase.COMPLETED, 2, 10));
+        receive(order("v1", RolloutPhase.IN_PROGRESS, 2, 11));
         assertThat(canary.admits("v2", true)).isTrue();
         assertThat(canary.elapsed()).hasMillis(5_000);
         assertThat(canary.phaseToWrite()).isEmpty();
-        hear(order("v2", RolloutPhase.ORDERED, 2, 15));
+        receive(order("v2", RolloutPhase.ORDERED, 2, 15));
         assertThat(canary.elapsed()).hasMillis(5_000);
         assertThat(canary.phaseToWrite()).contains(RolloutPhase.IN_PROGRESS);
     }
 
     /**
-     * Symptom: a VM that just started sends all its requests to workers of a version that is being
-     * tried. Events: the store lost the order; both versions' workers are in it. Cause: no order
-     * spoke of the version, so it counted as one in use.
+     * Guards against a VM that started after the store lost the order and sends all requests to the
+     * new version.
      */
     @Test
-    void aVersionOfWhichAnotherVmTellsIsNotTakenForOneInUse() {
+    void aVersionReportedByAnotherVmIsNotInUse() {
         canary.onVersionWithoutOrder("v1");
         canary.onVersionWithoutOrder("v2");
         canary.onAge(new RolloutAge(ServiceName.of("models"), "v2", Position.of(1, 9), 4_000));
         assertThat(canary.admits("v2", false)).isFalse();
         assertThat(canary.admits("v1", false)).isTrue();
-        now.addAndGet(ToldVersions.TOLD_MILLIS);
+        now.addAndGet(ReportedVersions.REPORT_LIFETIME_MILLIS);
         assertThat(canary.admits("v2", false)).isTrue();
     }
 }
--- a/fennelstage-core/src/test/java/org/fennelstage/canary/EndedOrdersTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/canary/EndedOrdersTest.java
@@ -24,14 +24,14 @@
     }
 
     @Test
-    void anOrderThatACopyHoldsAsRunningHasEndedAsWasHeard() {
+    void anEndedOrderStaysEndedIfARestoredStoreHoldsItAsRunning() {
         orders.onEnded(order("v2", RolloutPhase.ROLLED_BACK, 1, 90));
         assertThat(orders.endOf(order("v2", RolloutPhase.IN_PROGRESS, 2, 80)))
                 .contains(RolloutPhase.ROLLED_BACK);
     }
 
     @Test
-    void anOrderAtAHigherRevisionOrForAnotherVersionIsAnotherOne() {
+    void anOrderAtAHigherRevisionOrForAnotherVersionHasNoKnownEnd() {
         orders.onEnded(order("v2", RolloutPhase.ROLLED_BACK, 1, 90));
         assertThat(orders.endOf(order("v2", RolloutPhase.ORDERED, 2, 91))).isEmpty();
         assertThat(orders.endOf(order("v3", RolloutPhase.ORDERED, 2, 80))).isEmpty();
