--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/CrashWatch.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/CrashWatch.java
@@ -222,7 +222,7 @@
      */
     private void lift(final Fingerprint content) {
         if (quarantine.release(content)) {
-            EventLog.write(Event.QUARANTINE_OVER, "content", content, "source", "answer");
+            EventLog.write(Event.QUARANTINE_ENDED, "content", content, "source", "answer");
             liftedListener.accept(content);
         }
     }
@@ -266,7 +266,7 @@
     public void release(final Fingerprint content) {
         ledger.onAnswered(content);
         if (quarantine.release(content)) {
-            EventLog.write(Event.QUARANTINE_OVER, "content", content, "source", "store");
+            EventLog.write(Event.QUARANTINE_ENDED, "content", content, "source", "store");
         }
     }
 }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Gateway.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Gateway.java
@@ -210,7 +210,7 @@
     void onLeaving(final TrackedServer server) {
         final Incarnation incarnation = server.entry().incarnation();
         if (beliefs.servers().onLeaving(incarnation)) {
-            EventLog.write(Event.SERVER_LEAVES, "server", incarnation, "source", "own answer");
+            EventLog.write(Event.SERVER_DRAINING, "server", incarnation, "source", "own answer");
             leavingListener.accept(incarnation);
         }
     }
@@ -219,7 +219,7 @@
     void onTurnedAway(final TrackedServer server, final Duration time) {
         server.onTurnedAway(time);
         EventLog.write(
-                Event.SERVER_TURNS_AWAY,
+                Event.SERVER_REJECTING,
                 "server",
                 server.entry().incarnation(),
                 "for_ms",
@@ -281,7 +281,7 @@
             final Refusal refusal,
             final String detail) {
         EventLog.write(
-                Event.REQUEST_REFUSED,
+                Event.REQUEST_REJECTED,
                 "request",
                 requestId,
                 "reason",
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/RequestLog.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/RequestLog.java
@@ -96,7 +96,7 @@
 
     void hopeless(final long waitMillis, final long remainingMillis) {
         EventLog.write(
-                Event.REQUEST_REFUSED,
+                Event.REQUEST_REJECTED,
                 "request",
                 request.id(),
                 "route",
@@ -113,7 +113,7 @@
 
     void noneEligible(final Eligibility.Reasons reasons) {
         EventLog.write(
-                Event.REQUEST_REFUSED,
+                Event.REQUEST_REJECTED,
                 "request",
                 request.id(),
                 "route",
@@ -132,7 +132,7 @@
 
     void quarantined(final Duration left) {
         EventLog.write(
-                Event.REQUEST_REFUSED,
+                Event.REQUEST_REJECTED,
                 "request",
                 request.id(),
                 "content",
--- a/fennelstage-gateway/src/main/java/org/fennelstage/store/EraTracker.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/store/EraTracker.java
@@ -96,7 +96,7 @@
     private void onRisen(final Position before, final StoreKind<?> kind) {
         rises++;
         EventLog.write(
-                Event.STORE_REPLACED, "kind", kind, "had", before, "got", newest, "rises", rises);
+                Event.STORE_RESTORED, "kind", kind, "had", before, "got", newest, "rises", rises);
         listeners.forEach(Runnable::run);
     }
 
--- a/fennelstage-gateway/src/main/java/org/fennelstage/store/FallbackStore.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/store/FallbackStore.java
@@ -216,7 +216,8 @@
             return;
         }
         failed = true;
-        EventLog.write(Event.STORE_REFUSES, "detail", detail, "relays", relays.get().size());
+        EventLog.write(
+                Event.DIRECT_STORE_ACCESS_LOST, "detail", detail, "relays", relays.get().size());
         final List<Pending<?>> waiting = new ArrayList<>(pending);
         pending.clear();
         waiting.forEach(Pending::fail);
@@ -225,7 +226,7 @@
     private void onStoreAnswered() {
         if (failed) {
             failed = false;
-            EventLog.write(Event.STORE_SERVES, "relays", relays.get().size());
+            EventLog.write(Event.DIRECT_STORE_ACCESS_RESTORED, "relays", relays.get().size());
         }
     }
 }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/store/Follower.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/store/Follower.java
@@ -239,7 +239,7 @@
     }
 
     private void logStale(final Page<T> page) {
-        EventLog.write(Event.STALE_ANSWER, "kind", kind, "has", position, "got", page.position());
+        EventLog.write(Event.STALE_RESPONSE, "kind", kind, "has", position, "got", page.position());
     }
 
     private void watch() {
@@ -338,7 +338,13 @@
     private void onSuccess() {
         if (failures > 0) {
             EventLog.write(
-                    Event.STORE_BACK, "kind", kind, "failed_calls", failures, "was_away", away);
+                    Event.STORE_RECOVERED,
+                    "kind",
+                    kind,
+                    "failed_calls",
+                    failures,
+                    "was_away",
+                    away);
             failures = 0;
             away = false;
             listener.onBack();
@@ -348,7 +354,7 @@
     private void onListFailed() {
         if (!away) {
             away = true;
-            EventLog.write(Event.STORE_AWAY, "kind", kind, "revision", position);
+            EventLog.write(Event.STORE_UNAVAILABLE, "kind", kind, "revision", position);
             listener.onAway();
         }
     }
@@ -356,7 +362,8 @@
     private void retry(final String detail) {
         failures++;
         if (failures == 1) {
-            EventLog.write(Event.STORE_LOST, "kind", kind, "revision", position, "detail", detail);
+            EventLog.write(
+                    Event.STORE_CALL_FAILED, "kind", kind, "revision", position, "detail", detail);
             listener.onLost();
         }
         final long bound =
--- a/fennelstage-gateway/src/main/java/org/fennelstage/store/MalformedObjects.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/store/MalformedObjects.java
@@ -47,7 +47,7 @@
             noteBad(value, value.problem().get());
         } else if (problems.remove(value.name()) != null) {
             EventLog.write(
-                    Event.OBJECT_UNDERSTOOD,
+                    Event.OBJECT_VALID,
                     "kind",
                     kind,
                     "name",
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/EvacuationFeed.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/EvacuationFeed.java
@@ -85,7 +85,7 @@
     }
 
     private static void logBegun(final DataCentreId dataCentre, final Object source) {
-        EventLog.write(Event.EVACUATION_BEGUN, "data_centre", dataCentre, "source", source);
+        EventLog.write(Event.EVACUATION_STARTED, "data_centre", dataCentre, "source", source);
     }
 
     /** Another writer may use names that no data centre can have; those name none. */
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/GatewayVm.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/GatewayVm.java
@@ -308,7 +308,7 @@
     private void awaitDrained(final Drain drain, final Runnable whenStopped) {
         if (drain.mayEnd(gateway.inFlight())) {
             EventLog.write(
-                    gateway.inFlight() == 0 ? Event.STOPPED : Event.DRAIN_CUT,
+                    gateway.inFlight() == 0 ? Event.STOPPED : Event.DRAIN_TIMED_OUT,
                     "vm",
                     settings.vm(),
                     "in_flight",
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/PeerInbox.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/PeerInbox.java
@@ -54,7 +54,7 @@
 
     private void onSaidToLeave(final Incarnation server) {
         if (beliefs.servers().onLeaving(server)) {
-            EventLog.write(Event.SERVER_LEAVES, "server", server, "source", "another VM");
+            EventLog.write(Event.SERVER_DRAINING, "server", server, "source", "another VM");
         }
     }
 
@@ -66,7 +66,8 @@
                         .filter(s -> s.entry().incarnation().equals(about));
         if (server.isPresent()) {
             final boolean believed = server.get().health().onHearsay(draw);
-            EventLog.write(Event.SERVER_REPORTED, "server", about, "believed", believed);
+            EventLog.write(
+                    Event.SERVER_REPORTED_UNREACHABLE, "server", about, "believed", believed);
         }
     }
 }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/Peers.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/Peers.java
@@ -140,7 +140,11 @@
             take(values);
             if (!lists(values, own)) {
                 EventLog.write(
-                        Event.VM_ENTERED, "vm", own.vm(), "position", done.value().position());
+                        Event.VM_ENTRY_WRITTEN,
+                        "vm",
+                        own.vm(),
+                        "position",
+                        done.value().position());
                 store.writeVm(own, Peers::onEntered);
             }
         }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/QuarantineFeed.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/QuarantineFeed.java
@@ -124,7 +124,7 @@
     /** Writes and deletes what is due. To be called a few times a second. */
     void writeDue() {
         for (final Fingerprint content : crashes.quarantine().takeExpired()) {
-            EventLog.write(Event.QUARANTINE_OVER, "content", content, "source", "time");
+            EventLog.write(Event.QUARANTINE_ENDED, "content", content, "source", "time");
             over.add(content);
         }
         liftedMillis.keySet().removeIf(content -> !wasLifted(content));
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/RolloutAges.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/RolloutAges.java
@@ -82,7 +82,7 @@
         final Duration change = canary.map(c -> c.onAge(age)).orElse(Duration.ZERO);
         if (Math.abs(change.toMillis()) >= LOGGED_FROM_MILLIS) {
             EventLog.write(
-                    Event.ROLLOUT_AGE,
+                    Event.ROLLOUT_AGE_CORRECTED,
                     "service",
                     age.service(),
                     "target",
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/RolloutFeed.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/RolloutFeed.java
@@ -81,7 +81,7 @@
             return;
         }
         EventLog.write(
-                Event.ROLLOUT_STATE,
+                Event.ROLLOUT_STATE_CHANGED,
                 "service",
                 order.service(),
                 "target",
@@ -145,7 +145,7 @@
         final Instant begunAt = wallClock.instant().minus(canary.elapsed());
         store.writePhase(order, phase, begunAt, answer -> onWritten(service, phase, answer));
         EventLog.write(
-                Event.ROLLOUT_WRITE,
+                Event.ROLLOUT_STATE_WRITTEN,
                 "service",
                 service,
                 "target",
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/ServerFeed.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/ServerFeed.java
@@ -31,7 +31,8 @@
         final List<ServerEntry> entries =
                 values.stream().map(StoredValue::value).flatMap(Optional::stream).toList();
         beliefs.onAllServers(entries);
-        EventLog.write(Event.SERVER_ENTRY, "listed", values.size(), "in_table", servers.size());
+        EventLog.write(
+                Event.SERVER_ENTRY_CHANGED, "listed", values.size(), "in_table", servers.size());
         afterList.run();
     }
 
@@ -41,7 +42,7 @@
             final ServerEntry entry = change.value().get();
             final boolean taken = beliefs.onServer(entry);
             EventLog.write(
-                    Event.SERVER_ENTRY,
+                    Event.SERVER_ENTRY_CHANGED,
                     "server",
                     entry.id(),
                     "service",
@@ -59,7 +60,11 @@
         } else {
             id(change.name()).ifPresent(servers::remove);
             EventLog.write(
-                    Event.SERVER_GONE, "server", change.name(), "revision", change.position());
+                    Event.SERVER_ENTRY_REMOVED,
+                    "server",
+                    change.name(),
+                    "revision",
+                    change.position());
         }
     }
 
@@ -101,6 +106,7 @@
 
     /** Drops entries that lapsed while the store was away and did not come back. */
     void dropLapsed() {
-        servers.dropLapsed().forEach(id -> EventLog.write(Event.SERVER_LAPSED, "server", id));
+        servers.dropLapsed()
+                .forEach(id -> EventLog.write(Event.SERVER_ENTRY_EXPIRED, "server", id));
     }
 }
--- a/fennelstage-router/src/main/java/org/fennelstage/control/Bills.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/control/Bills.java
@@ -217,7 +217,7 @@
         if (isWritten) {
             done.complete(null);
         } else if (clock.millis() >= deadlineMillis) {
-            EventLog.write(Event.BILL_HELD_ALONE, "request", request);
+            EventLog.write(Event.BILL_NOT_REPLICATED, "request", request);
             done.complete(null);
         } else {
             timer.schedule(
--- a/fennelstage-router/src/main/java/org/fennelstage/control/ConfigurationWatcher.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/control/ConfigurationWatcher.java
@@ -108,13 +108,13 @@
             since = changed.upTo();
             if (isLost) {
                 isLost = false;
-                EventLog.write(Event.PLATFORM_BACK, "revision", since);
+                EventLog.write(Event.OBJECT_API_AVAILABLE, "revision", since);
             }
             schedule(since.equals(Revision.NONE) ? CHECK : Duration.ZERO);
         } else if (result instanceof ChangesResult.Unavailable unavailable) {
             if (!isLost) {
                 isLost = true;
-                EventLog.write(Event.PLATFORM_LOST, "detail", unavailable.detail());
+                EventLog.write(Event.OBJECT_API_UNAVAILABLE, "detail", unavailable.detail());
             }
             schedule(backoff.nextWait());
         }
--- a/fennelstage-router/src/main/java/org/fennelstage/main/RouterNode.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/main/RouterNode.java
@@ -289,7 +289,7 @@
         final long deadline = System.nanoTime() + settings.drain().toNanos();
         awaitUntil(deadline, () -> router.inFlight() == 0);
         if (router.inFlight() > 0) {
-            EventLog.write(Event.DRAIN_CUT, "in_flight", router.inFlight());
+            EventLog.write(Event.DRAIN_TIMED_OUT, "in_flight", router.inFlight());
         }
         final long billsDeadline = System.nanoTime() + Duration.ofSeconds(3).toNanos();
         awaitUntil(
@@ -461,7 +461,7 @@
                 router.ledger().forget(member.id());
             }
             EventLog.write(
-                    Event.MEMBER_CHANGED,
+                    Event.PEER_STATE_CHANGED,
                     "member",
                     member.id(),
                     "state",
--- a/fennelstage-router/src/main/java/org/fennelstage/route/Attempts.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/Attempts.java
@@ -139,7 +139,7 @@
         current.ifPresent(
                 s -> {
                     if (workers.state(s.id()).breaker().onSuccess()) {
-                        EventLog.write(Event.SERVER_MENDED, "server", s.id());
+                        EventLog.write(Event.SERVER_RECOVERED, "server", s.id());
                     }
                 });
     }
@@ -157,7 +157,11 @@
                             failure.phase() != CallFailure.Phase.RESPONDING;
                     if (connectionFailed && workers.state(s.id()).breaker().onFailure()) {
                         EventLog.write(
-                                Event.SERVER_BROKEN, "server", s.id(), "detail", failure.detail());
+                                Event.SERVER_EXCLUDED,
+                                "server",
+                                s.id(),
+                                "detail",
+                                failure.detail());
                     }
                 });
         release();
--- a/fennelstage-router/src/main/java/org/fennelstage/route/ChatRun.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/ChatRun.java
@@ -478,7 +478,7 @@
             giveClaimBack();
         }
         if (outcome instanceof Outcome.Unknown) {
-            EventLog.write(Event.REQUEST_UNKNOWN, "request", id);
+            EventLog.write(Event.REQUEST_OUTCOME_UNKNOWN, "request", id);
         }
         EventLog.write(
                 Event.REQUEST_ENDED,
--- a/spec/guards/run.py
+++ b/spec/guards/run.py
@@ -33,7 +33,7 @@
      "pausedUntilMillis.put(vm, clock.millis() + pause);", "heardMillis.remove(vm, pause);",
      "LoadCollectionTest"),
     ("answer-lifts-quarantine", GATEWAY + "gateway/CrashWatch.java",
-     "        if (quarantine.release(content)) {\n            EventLog.write(Event.QUARANTINE_OVER, \"content\", content, \"source\", \"answer\");", "        if (content == null) {\n            EventLog.write(Event.QUARANTINE_OVER, \"content\", content, \"source\", \"answer\");",
+     "        if (quarantine.release(content)) {\n            EventLog.write(Event.QUARANTINE_ENDED, \"content\", content, \"source\", \"answer\");", "        if (content == null) {\n            EventLog.write(Event.QUARANTINE_ENDED, \"content\", content, \"source\", \"answer\");",
      "CrashWatchTest"),
     ("revision-never-falls", CORE + "configuration/ConfigurationTable.java",
      "if (held != null && !object.revision().isAfter(held.revision())) {", "if (held != null && false) {",
