--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Attempt.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Attempt.java
@@ -14,7 +14,7 @@
 import org.fennelstage.http.Call;
 import org.fennelstage.http.CallFailure;
 import org.fennelstage.http.CallOptions;
-import org.fennelstage.http.ConnectionUse;
+import org.fennelstage.http.ConnectionPolicy;
 import org.fennelstage.http.ResponseListener;
 import org.fennelstage.placement.Prompt;
 import org.fennelstage.policy.Mechanism;
@@ -110,11 +110,11 @@
         run.gateway().attempts().add(this);
     }
 
-    private ConnectionUse connectionUse() {
+    private ConnectionPolicy connectionUse() {
         final int mostIdle = run.gateway().beliefs().connectionShare(run.service()).mostIdle();
         return run.route().repeatable()
-                ? new ConnectionUse(MAX_IDLE_REPEATABLE, mostIdle, Duration.ZERO)
-                : new ConnectionUse(MAX_IDLE_AT_MOST_ONCE, mostIdle, SETTLING_AT_MOST_ONCE);
+                ? new ConnectionPolicy(MAX_IDLE_REPEATABLE, mostIdle, Duration.ZERO)
+                : new ConnectionPolicy(MAX_IDLE_AT_MOST_ONCE, mostIdle, SETTLING_AT_MOST_ONCE);
     }
 
     RequestRun run() {
@@ -203,7 +203,7 @@
             }
             fail(AttemptEnd.NOT_SENT, failure.detail());
         } else {
-            if (!failure.keptConnection()) {
+            if (!failure.reusedConnection()) {
                 noteHealth(true);
             }
             noteBroken();
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/CrashWatch.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/CrashWatch.java
@@ -13,7 +13,7 @@
 import org.fennelstage.crash.Quarantine;
 import org.fennelstage.fleet.Incarnation;
 import org.fennelstage.fleet.TrackedServer;
-import org.fennelstage.http.ConnectionUse;
+import org.fennelstage.http.ConnectionPolicy;
 import org.fennelstage.http.HttpClient;
 import org.fennelstage.http.ProbeResult;
 import org.fennelstage.log.Event;
@@ -53,8 +53,8 @@
      * The probe's connection may carry the next request. It must stand for a moment: a process that
      * ends may close its connections before it stops to listen, and takes a last one meanwhile.
      */
-    private static final ConnectionUse KEPT =
-            new ConnectionUse(Duration.ofSeconds(4), 1, Duration.ofMillis(50));
+    private static final ConnectionPolicy KEPT =
+            new ConnectionPolicy(Duration.ofSeconds(4), 1, Duration.ofMillis(50));
 
     private final HttpClient client;
     private final CrashLedger ledger;
--- a/fennelstage-http/src/main/java/org/fennelstage/http/CallFailure.java
+++ b/fennelstage-http/src/main/java/org/fennelstage/http/CallFailure.java
@@ -6,11 +6,11 @@
  * Why a call has no whole response. Immutable and thread-safe.
  *
  * @param phase how far the request got
- * @param keptConnection whether the request went out on a connection that had rested and brought no
- *     byte: the server may have dropped the connection before, which says nothing of its health
+ * @param reusedConnection whether the request went out on a connection that had rested and brought
+ *     no byte: the server may have dropped the connection before, which says nothing of its health
  * @param detail text for a person
  */
-public record CallFailure(Phase phase, boolean keptConnection, String detail) {
+public record CallFailure(Phase phase, boolean reusedConnection, String detail) {
 
     /** How far the request got. */
     public enum Phase {
@@ -20,7 +20,7 @@
          * The server took the connection and closed it before the request went out; it cannot have
          * run. So do servers that have as many connections as they accept, and are well.
          */
-        TURNED_AWAY,
+        CONNECTION_REJECTED,
         /** Bytes may have arrived; it may have run. */
         MAYBE_SENT,
         /** The response had begun. */
@@ -38,6 +38,6 @@
      * @return true if it cannot have run
      */
     public boolean notSent() {
-        return phase == Phase.NOT_SENT || phase == Phase.TURNED_AWAY;
+        return phase == Phase.NOT_SENT || phase == Phase.CONNECTION_REJECTED;
     }
 }
--- a/fennelstage-http/src/main/java/org/fennelstage/http/CallOptions.java
+++ b/fennelstage-http/src/main/java/org/fennelstage/http/CallOptions.java
@@ -10,16 +10,16 @@
  *
  * @param connectTimeout the longest wait for a new connection; a call that fails by it was never
  *     sent
- * @param silence the longest wait without any byte of the response
+ * @param inactivityTimeout the longest wait without any byte of the response
  * @param connection which connections may carry it
- * @param answersThis tells by its headers whether a response answers this call; one that does not
+ * @param matchesCall tells by its headers whether a response answers this call; one that does not
  *     is dropped, and the connection closes after the call
  */
 public record CallOptions(
         Duration connectTimeout,
-        Duration silence,
-        ConnectionUse connection,
-        Predicate<HttpHeaders> answersThis) {
+        Duration inactivityTimeout,
+        ConnectionPolicy connection,
+        Predicate<HttpHeaders> matchesCall) {
 
     /** Suits calls that may be repeated. */
     public static final CallOptions DEFAULT =
@@ -27,23 +27,25 @@
 
     public CallOptions {
         Objects.requireNonNull(connectTimeout, "connectTimeout is null");
-        Objects.requireNonNull(silence, "silence is null");
+        Objects.requireNonNull(inactivityTimeout, "inactivityTimeout is null");
         Objects.requireNonNull(connection, "connection is null");
-        Objects.requireNonNull(answersThis, "answersThis is null");
+        Objects.requireNonNull(matchesCall, "matchesCall is null");
     }
 
     /**
      * Returns options for a peer whose responses come in order.
      *
      * @param connectTimeout the longest wait for a new connection
-     * @param silence the longest wait without any byte of the response
+     * @param inactivityTimeout the longest wait without any byte of the response
      * @param freshConnection whether the call needs a connection of its own
      * @return the options
      */
     public static CallOptions of(
-            final Duration connectTimeout, final Duration silence, final boolean freshConnection) {
-        final ConnectionUse connection =
-                freshConnection ? ConnectionUse.own() : ConnectionUse.shared();
-        return new CallOptions(connectTimeout, silence, connection, headers -> true);
+            final Duration connectTimeout,
+            final Duration inactivityTimeout,
+            final boolean freshConnection) {
+        final ConnectionPolicy connection =
+                freshConnection ? ConnectionPolicy.dedicated() : ConnectionPolicy.pooled();
+        return new CallOptions(connectTimeout, inactivityTimeout, connection, headers -> true);
     }
 }
--- a/fennelstage-http/src/main/java/org/fennelstage/http/ConnectionPool.java
+++ b/fennelstage-http/src/main/java/org/fennelstage/http/ConnectionPool.java
@@ -49,10 +49,10 @@
             final InetSocketAddress address,
             final Channel channel,
             final Optional<Duration> keptFor,
-            final ConnectionUse use) {
+            final ConnectionPolicy use) {
         final Deque<Idle> connections = idle.computeIfAbsent(address, a -> new ArrayDeque<>());
-        closeRested(connections, use.maxIdle());
-        if (!channel.isActive() || connections.size() >= use.mostIdle()) {
+        closeRested(connections, use.maxIdleTime());
+        if (!channel.isActive() || connections.size() >= use.maxIdleConnections()) {
             channel.close();
             return;
         }
--- a/fennelstage-http/src/main/java/org/fennelstage/http/HttpClient.java
+++ b/fennelstage-http/src/main/java/org/fennelstage/http/HttpClient.java
@@ -113,9 +113,9 @@
         }
         final Call call = new Call();
         final Optional<Channel> kept =
-                options.connection().maxIdle().isZero()
+                options.connection().maxIdleTime().isZero()
                         ? Optional.empty()
-                        : idle.take(address, options.connection().maxIdle());
+                        : idle.take(address, options.connection().maxIdleTime());
         kept.ifPresentOrElse(
                 pooled -> write(pooled, address, request, options, call, listener),
                 () -> connect(address, request, options, call, listener));
@@ -134,7 +134,7 @@
     public void probe(
             final InetSocketAddress address,
             final Duration timeout,
-            final ConnectionUse use,
+            final ConnectionPolicy use,
             final Consumer<ProbeResult> result) {
         final ChannelFuture connected = open(address, timeout);
         connected.addListener(
@@ -143,7 +143,7 @@
                         final Channel opened = connected.channel();
                         loop.schedule(
                                 () -> onSettled(opened, address, use, result),
-                                use.settling().toNanos(),
+                                use.firstUseDelay().toNanos(),
                                 TimeUnit.NANOSECONDS);
                         return;
                     }
@@ -154,7 +154,7 @@
     private void onSettled(
             final Channel opened,
             final InetSocketAddress address,
-            final ConnectionUse use,
+            final ConnectionPolicy use,
             final Consumer<ProbeResult> result) {
         final boolean stands = opened.isActive();
         idle.put(address, opened, Optional.empty(), use);
@@ -229,7 +229,7 @@
                     }
                     notSent(
                             wasReset(f.cause())
-                                    ? CallFailure.Phase.TURNED_AWAY
+                                    ? CallFailure.Phase.CONNECTION_REJECTED
                                     : CallFailure.Phase.NOT_SENT,
                             "cannot connect to " + address,
                             request,
@@ -250,7 +250,7 @@
             final CallOptions options,
             final Call call,
             final ResponseListener listener) {
-        final Duration settling = options.connection().settling();
+        final Duration settling = options.connection().firstUseDelay();
         if (settling.isZero()) {
             write(opened, address, request, options, call, listener);
             return;
@@ -261,7 +261,7 @@
                         write(opened, address, request, options, call, listener);
                     } else {
                         notSent(
-                                CallFailure.Phase.TURNED_AWAY,
+                                CallFailure.Phase.CONNECTION_REJECTED,
                                 "turned away by " + address,
                                 request,
                                 call,
--- a/fennelstage-http/src/main/java/org/fennelstage/http/HttpServer.java
+++ b/fennelstage-http/src/main/java/org/fennelstage/http/HttpServer.java
@@ -187,11 +187,12 @@
             final ServerLimits limits,
             final Optional<SslContext> tls,
             final ConnectionHandler handler) {
-        final HeaderTimeout headerTimeout = new HeaderTimeout(limits.header());
+        final HeaderTimeout headerTimeout = new HeaderTimeout(limits.headerTimeout());
         tls.ifPresent(c -> channel.pipeline().addLast(c.newHandler(channel.alloc())));
         channel.pipeline()
                 .addLast(
-                        new IdleStateHandler(0, 0, limits.idle().toMillis(), TimeUnit.MILLISECONDS))
+                        new IdleStateHandler(
+                                0, 0, limits.idleTimeout().toMillis(), TimeUnit.MILLISECONDS))
                 .addLast(headerTimeout)
                 .addLast(new StrictRequestDecoder(limits))
                 .addLast(headerTimeout.headListener())
--- a/fennelstage-http/src/main/java/org/fennelstage/http/ResponseHandler.java
+++ b/fennelstage-http/src/main/java/org/fennelstage/http/ResponseHandler.java
@@ -59,7 +59,7 @@
         returning = false;
         keptFor = Optional.empty();
         lastReadNanos = System.nanoTime();
-        armSilenceTimer(options.silence().toNanos());
+        armSilenceTimer(options.inactivityTimeout().toNanos());
     }
 
     void requestWritten() {
@@ -127,19 +127,20 @@
         if (paused) {
             lastReadNanos = System.nanoTime();
         }
-        final long left = options.silence().toNanos() - (System.nanoTime() - lastReadNanos);
+        final long left =
+                options.inactivityTimeout().toNanos() - (System.nanoTime() - lastReadNanos);
         if (left > 0) {
             armSilenceTimer(left);
             return;
         }
-        fail("no byte for " + options.silence().toMillis() + " ms");
+        fail("no byte for " + options.inactivityTimeout().toMillis() + " ms");
         own.close();
     }
 
     private void onHead(final HttpResponse response) {
         final boolean informational =
                 response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
-        dropping = informational || !options.answersThis().test(response.headers());
+        dropping = informational || !options.matchesCall().test(response.headers());
         if (dropping) {
             reusable = reusable && informational;
             return;
--- a/fennelstage-http/src/main/java/org/fennelstage/http/ServerLimits.java
+++ b/fennelstage-http/src/main/java/org/fennelstage/http/ServerLimits.java
@@ -8,17 +8,18 @@
  *
  * @param maxHeaderBytes the largest request line or header block; bytes
  * @param maxBodyBytes the largest body; bytes
- * @param header how long the head of a request may take from its first byte
- * @param idle how long a connection may stay silent while it owes us bytes or refuses ours
+ * @param headerTimeout how long the head of a request may take from its first byte
+ * @param idleTimeout how long a connection may stay silent while it owes us bytes or refuses ours
  */
-public record ServerLimits(int maxHeaderBytes, int maxBodyBytes, Duration header, Duration idle) {
+public record ServerLimits(
+        int maxHeaderBytes, int maxBodyBytes, Duration headerTimeout, Duration idleTimeout) {
 
     /** Suits JSON requests. */
     public static final ServerLimits DEFAULT = of(16 * 1024, 1024 * 1024, Duration.ofSeconds(30));
 
     public ServerLimits {
-        Objects.requireNonNull(header, "header is null");
-        Objects.requireNonNull(idle, "idle is null");
+        Objects.requireNonNull(headerTimeout, "headerTimeout is null");
+        Objects.requireNonNull(idleTimeout, "idleTimeout is null");
     }
 
     /**
@@ -26,11 +27,11 @@
      *
      * @param maxHeaderBytes the largest request line or header block; bytes
      * @param maxBodyBytes the largest body; bytes
-     * @param idle how long a connection may stay silent
+     * @param idleTimeout how long a connection may stay silent
      * @return the limits
      */
     public static ServerLimits of(
-            final int maxHeaderBytes, final int maxBodyBytes, final Duration idle) {
-        return new ServerLimits(maxHeaderBytes, maxBodyBytes, idle, idle);
+            final int maxHeaderBytes, final int maxBodyBytes, final Duration idleTimeout) {
+        return new ServerLimits(maxHeaderBytes, maxBodyBytes, idleTimeout, idleTimeout);
     }
 }
--- a/fennelstage-http/src/test/java/org/fennelstage/http/HttpClientTest.java
+++ b/fennelstage-http/src/test/java/org/fennelstage/http/HttpClientTest.java
@@ -52,7 +52,7 @@
         return ask(CallOptions.of(PATIENCE, PATIENCE, freshConnection));
     }
 
-    private CompletableFuture<Object> ask(final ConnectionUse use) {
+    private CompletableFuture<Object> ask(final ConnectionPolicy use) {
         return ask(new CallOptions(PATIENCE, PATIENCE, use, headers -> true));
     }
 
@@ -113,7 +113,7 @@
         kept.close();
         assertThat(second.get())
                 .isInstanceOfSatisfying(
-                        CallFailure.class, f -> assertThat(f.keptConnection()).isTrue());
+                        CallFailure.class, f -> assertThat(f.reusedConnection()).isTrue());
 
         final CompletableFuture<Object> third = ask(false);
         final Socket opened = accept();
@@ -121,7 +121,7 @@
         opened.close();
         assertThat(third.get())
                 .isInstanceOfSatisfying(
-                        CallFailure.class, f -> assertThat(f.keptConnection()).isFalse());
+                        CallFailure.class, f -> assertThat(f.reusedConnection()).isFalse());
     }
 
     /**
@@ -151,7 +151,8 @@
      */
     @Test
     void aCallThatWaitsForItsNewConnectionToSettleKnowsThatAServerTurnedItAway() throws Exception {
-        final ConnectionUse settling = new ConnectionUse(Duration.ZERO, 1, Duration.ofMillis(300));
+        final ConnectionPolicy settling =
+                new ConnectionPolicy(Duration.ZERO, 1, Duration.ofMillis(300));
         final CompletableFuture<Object> call = ask(settling);
         final Socket full = accept();
         full.setSoLinger(true, 0);
@@ -160,7 +161,7 @@
                 .isInstanceOfSatisfying(
                         CallFailure.class,
                         f -> {
-                            assertThat(f.phase()).isEqualTo(CallFailure.Phase.TURNED_AWAY);
+                            assertThat(f.phase()).isEqualTo(CallFailure.Phase.CONNECTION_REJECTED);
                             assertThat(f.notSent()).isTrue();
                         });
     }
@@ -168,7 +169,7 @@
     /** Symptom: see {@code ConnectionShareTest}; what is not kept is closed at the call's end. */
     @Test
     void noMoreConnectionsAreKeptThanTheCallAllows() throws Exception {
-        final ConnectionUse one = new ConnectionUse(PATIENCE, 1, Duration.ZERO);
+        final ConnectionPolicy one = new ConnectionPolicy(PATIENCE, 1, Duration.ZERO);
         final List<CompletableFuture<Object>> calls = List.of(ask(one), ask(one));
         final List<Socket> sockets = List.of(accept(), accept());
         for (final Socket socket : sockets) {
@@ -193,7 +194,7 @@
 
     private ProbeResult probe(final InetSocketAddress address) throws Exception {
         final CompletableFuture<ProbeResult> result = new CompletableFuture<>();
-        final ConnectionUse use = ConnectionUse.shared();
+        final ConnectionPolicy use = ConnectionPolicy.pooled();
         client.eventLoop().execute(() -> client.probe(address, PATIENCE, use, result::complete));
         return result.get(PATIENCE.toMillis(), TimeUnit.MILLISECONDS);
     }
@@ -214,7 +215,7 @@
     @Test
     void aServerThatClosesAProbesConnectionAtOnceTurnsItAway() throws Exception {
         final CompletableFuture<ProbeResult> result = new CompletableFuture<>();
-        final ConnectionUse settling = new ConnectionUse(PATIENCE, 1, Duration.ofMillis(300));
+        final ConnectionPolicy settling = new ConnectionPolicy(PATIENCE, 1, Duration.ofMillis(300));
         client.eventLoop()
                 .execute(
                         () ->
--- a/spec/guards/run.py
+++ b/spec/guards/run.py
@@ -108,7 +108,7 @@
      "() -> list(Optional.empty()), 1 +", "this::watch, 1 +",
      "FollowerTest"),
     ("foreign-answers-are-dropped", HTTP + "http/ResponseHandler.java",
-     "dropping = informational || !options.answersThis().test(response.headers());", "dropping = informational && options != null;",
+     "dropping = informational || !options.matchesCall().test(response.headers());", "dropping = informational && options != null;",
      "PathTest"),
     ("no-work-for-callers-that-left", HTTP + "http/ConnectionHandler.java",
      "context.channel().eventLoop().execute(() -> handler.handle(exchange));", "handler.handle(exchange);",
