--- a/fennelstage-log/src/main/java/org/fennelstage/log/BoundedQueue.java
+++ b/fennelstage-log/src/main/java/org/fennelstage/log/DroppingAppender.java
@@ -4,22 +4,21 @@
 import ch.qos.logback.classic.spi.ILoggingEvent;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** A queue before an appender that drops and counts lines when it is full. Thread-safe. */
-final class BoundedQueue extends AsyncAppender {
+/** An asynchronous appender that drops and counts lines when its queue is full. Thread-safe. */
+final class DroppingAppender extends AsyncAppender {
 
-    /** Lines held: a second of a busy VM at a few hundred requests; about 1 MB. */
-    private static final int LINES = 2_048;
+    private static final int MAX_QUEUED_LINES = 2_048;
 
-    /** Longest wait for the queue to empty at the end; milliseconds. */
-    private static final int FLUSH_MILLIS = 200;
+    /** The longest time to write queued lines when the appender stops. */
+    private static final int MAX_FLUSH_MILLIS = 200;
 
     private final AtomicLong dropped = new AtomicLong();
 
-    BoundedQueue() {
-        setQueueSize(LINES);
+    DroppingAppender() {
+        setQueueSize(MAX_QUEUED_LINES);
         setDiscardingThreshold(0);
         setNeverBlock(true);
-        setMaxFlushTime(FLUSH_MILLIS);
+        setMaxFlushTime(MAX_FLUSH_MILLIS);
     }
 
     @Override
--- a/fennelstage-log/src/main/java/org/fennelstage/log/EventLog.java
+++ b/fennelstage-log/src/main/java/org/fennelstage/log/EventLog.java
@@ -7,8 +7,8 @@
 /**
  * Writes numbered events with named fields through {@link System.Logger}.
  *
- * <p>The fields travel in the diagnostic context, from which the JSON form takes them as fields of
- * their own. Thread-safe.
+ * <p>Fields are passed through the MDC, from which the JSON encoder writes them as separate fields.
+ * Thread-safe.
  */
 public final class EventLog {
 
@@ -21,7 +21,8 @@
      * Writes an event.
      *
      * @param event the event
-     * @param fields names and values in turn
+     * @param fields alternating names and values
+     * @throws IllegalArgumentException if a name has no value
      */
     public static void write(final Event event, final Object... fields) {
         if (!LOGGER.isLoggable(event.level())) {
@@ -32,7 +33,7 @@
         message.append(event.text());
         named.forEach((name, value) -> message.append(' ').append(name).append('=').append(value));
         named.put(CODE, event.code());
-        // In one step: put one by one, each of some twenty fields would pass the context's locks.
+        // A single call avoids taking the MDC's locks once per field.
         MDC.setContextMap(named);
         try {
             LOGGER.log(event.level(), message.toString());
@@ -43,7 +44,8 @@
 
     private static Map<String, String> named(final Object... fields) {
         if (fields.length % 2 != 0) {
-            throw new IllegalArgumentException("fields must be names and values in turn");
+            throw new IllegalArgumentException(
+                    "fields must alternate names and values, but there are " + fields.length);
         }
         final Map<String, String> named = new LinkedHashMap<>();
         for (int i = 0; i < fields.length; i += 2) {
--- a/fennelstage-log/src/main/java/org/fennelstage/log/LogSetup.java
+++ b/fennelstage-log/src/main/java/org/fennelstage/log/LogSetup.java
@@ -10,18 +10,22 @@
 import net.logstash.logback.encoder.LogstashEncoder;
 import org.slf4j.LoggerFactory;
 
-/** Sets up the log's form before anything is logged. Stateless. */
+/**
+ * Configures log format and destination; called before anything is logged.
+ *
+ * <p>Not thread-safe, except for {@link #dropped()}.
+ */
 public final class LogSetup {
 
-    private static final BoundedQueue QUEUE = new BoundedQueue();
+    private static final DroppingAppender STDOUT_APPENDER = new DroppingAppender();
 
     private LogSetup() {}
 
     /**
-     * Sets the form for this process.
+     * Logs to standard error.
      *
      * @param json whether lines are JSON objects
-     * @param level the least level that is written
+     * @param level the lowest level to log
      */
     public static void apply(final boolean json, final String level) {
         final LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
@@ -38,10 +42,10 @@
     }
 
     /**
-     * Sets the form for a process whose log is collected: JSON lines on standard output.
+     * Logs JSON lines to standard output for a log collector.
      *
-     * <p>A reader of the output that stops reading would stop the process with it. So lines wait in
-     * a queue of bounded length, and are dropped and counted when it is full.
+     * <p>Lines pass through a bounded queue and are dropped and counted when it is full, so that a
+     * collector that stops reading cannot block the process.
      */
     public static void applyCollected() {
         final LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
@@ -51,27 +55,27 @@
         console.setTarget("System.out");
         console.setEncoder(json(context));
         console.start();
-        QUEUE.setContext(context);
-        QUEUE.addAppender(console);
-        QUEUE.start();
+        STDOUT_APPENDER.setContext(context);
+        STDOUT_APPENDER.addAppender(console);
+        STDOUT_APPENDER.start();
         final Logger root = context.getLogger(Logger.ROOT_LOGGER_NAME);
-        root.addAppender(QUEUE);
+        root.addAppender(STDOUT_APPENDER);
         root.setLevel(Level.WARN);
         context.getLogger("fennelstage").setLevel(Level.INFO);
     }
 
-    /** Writes what is queued and ends the log. To be called last. */
+    /** Writes queued lines and stops logging. Must be called last. */
     public static void close() {
         ((LoggerContext) LoggerFactory.getILoggerFactory()).stop();
     }
 
     /**
-     * Returns how many lines were dropped because the queue was full.
+     * Returns the number of lines dropped because the queue was full.
      *
-     * @return the count
+     * @return the number of lines
      */
     public static long dropped() {
-        return QUEUE.dropped();
+        return STDOUT_APPENDER.dropped();
     }
 
     private static Encoder<ILoggingEvent> json(final LoggerContext context) {
--- a/fennelstage-log/src/main/java/org/fennelstage/log/package-info.java
+++ b/fennelstage-log/src/main/java/org/fennelstage/log/package-info.java
@@ -1,2 +1,2 @@
-/** Numbered log events. The catalogue is docs/LOG-EVENTS.md. */
+/** Numbered log events. They are listed in docs/LOG-EVENTS.md. */
 package org.fennelstage.log;
--- a/fennelstage-log/src/test/java/org/fennelstage/log/EventTest.java
+++ b/fennelstage-log/src/test/java/org/fennelstage/log/EventTest.java
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void theCatalogueNamesEveryEventWithItsLevelAndTextAndNoOther() throws IOException {
+    void catalogueListsExactlyTheEventsWithTheirLevelAndText() throws IOException {
         final String catalogue = Files.readString(CATALOGUE);
         for (final Event event : Event.values()) {
             assertThat(catalogue)
