--- a/fennelstage-http/src/main/java/org/fennelstage/http/BodyAggregator.java
+++ b/fennelstage-http/src/main/java/org/fennelstage/http/BodyAggregator.java
@@ -10,7 +10,12 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.nio.charset.StandardCharsets;
 
-/** Collects a body up to a bound; beyond it answers 413 with a body and closes. */
+/**
+ * Aggregates request bodies up to a limit; responds with 413 to larger ones and closes the
+ * connection.
+ *
+ * <p>Not thread-safe; confined to the event loop.
+ */
 final class BodyAggregator extends HttpObjectAggregator {
 
     private final int maxBytes;
@@ -24,7 +29,7 @@
     protected void handleOversizedMessage(
             final ChannelHandlerContext context, final HttpMessage oversized) {
         final byte[] text =
-                Refusals.body("too_large", "the body may have at most " + maxBytes + " bytes")
+                ErrorBodies.body("too_large", "the body may have at most " + maxBytes + " bytes")
                         .getBytes(StandardCharsets.UTF_8);
         final DefaultFullHttpResponse response =
                 new DefaultFullHttpResponse(
--- a/fennelstage-http/src/main/java/org/fennelstage/http/Call.java
+++ b/fennelstage-http/src/main/java/org/fennelstage/http/Call.java
@@ -3,10 +3,12 @@
 import io.netty.channel.Channel;
 
 /**
- * A call under way.
+ * A request in flight, as its sender controls it.
  *
- * <p>Law: after {@link #cancel()} the listener hears nothing more, so late bytes of a cancelled
- * attempt cannot reach another's answer. Confined to the call's event loop.
+ * <p>Invariant: after {@link #cancel()} the listener is not called any more, so late bytes of a
+ * cancelled attempt cannot get into the response of another attempt.
+ *
+ * <p>Not thread-safe; confined to the event loop.
  */
 public final class Call {
 
@@ -16,7 +18,7 @@
 
     Call() {}
 
-    /** Gives the response up and closes its connection, which tells the server to stop. */
+    /** Cancels the call and closes its connection, from which the server sees that it may stop. */
     public void cancel() {
         cancelled = true;
         if (channel != null) {
@@ -25,9 +27,9 @@
     }
 
     /**
-     * Stops or resumes reading the response, so that a slow caller slows the server down.
+     * Pauses or resumes reading the response; applies backpressure to the server.
      *
-     * @param pause true to stop reading
+     * @param pause true to pause, false to resume
      */
     public void pause(final boolean pause) {
         paused = pause;
--- a/fennelstage-http/src/main/java/org/fennelstage/http/CallFailure.java
+++ b/fennelstage-http/src/main/java/org/fennelstage/http/CallFailure.java
@@ -3,27 +3,28 @@
 import java.util.Objects;
 
 /**
- * Why a call has no whole response. Immutable and thread-safe.
+ * Why a call got no complete response. Immutable and thread-safe.
  *
  * @param phase how far the request got
- * @param reusedConnection whether the request went out on a connection that had rested and brought
- *     no byte: the server may have dropped the connection before, which says nothing of its health
- * @param detail text for a person
+ * @param reusedConnection whether the request was sent on a reused connection and no response was
+ *     begun: the server may have closed the connection while it was idle, which is no sign of a
+ *     failure
+ * @param detail a description for logs and error messages
  */
 public record CallFailure(Phase phase, boolean reusedConnection, String detail) {
 
     /** How far the request got. */
     public enum Phase {
-        /** No byte of the request left this process; it cannot have run. */
+        /** The request was not sent; it cannot have run. */
         NOT_SENT,
         /**
-         * The server took the connection and closed it before the request went out; it cannot have
-         * run. So do servers that have as many connections as they accept, and are well.
+         * The server accepted the connection and closed it before the request was sent; it cannot
+         * have run. A healthy server does this at its connection limit.
          */
         CONNECTION_REJECTED,
-        /** Bytes may have arrived; it may have run. */
+        /** The request may have reached the server; it may have run. */
         MAYBE_SENT,
-        /** The response had begun. */
+        /** A part of the response was received. */
         RESPONDING
     }
 
@@ -33,7 +34,7 @@
     }
 
     /**
-     * Tells whether the request certainly did not leave this process.
+     * Returns whether the request was certainly not sent.
      *
      * @return true if it cannot have run
      */
--- a/fennelstage-http/src/main/java/org/fennelstage/http/CallOptions.java
+++ b/fennelstage-http/src/main/java/org/fennelstage/http/CallOptions.java
@@ -6,14 +6,13 @@
 import java.util.function.Predicate;
 
 /**
- * How to make one call. Immutable; thread-safe if the predicate is.
+ * Options of one call. Immutable; thread-safe if the predicate is.
  *
- * @param connectTimeout the longest wait for a new connection; a call that fails by it was never
- *     sent
- * @param inactivityTimeout the longest wait without any byte of the response
- * @param connection which connections may carry it
- * @param matchesCall tells by its headers whether a response answers this call; one that does not
- *     is dropped, and the connection closes after the call
+ * @param connectTimeout the timeout for opening a connection; a call that fails by it was not sent
+ * @param inactivityTimeout the longest time without receiving data
+ * @param connection which connections may carry the call
+ * @param matchesCall decides by its headers whether a response belongs to this call; one that does
+ *     not is dropped, and the connection is closed after the call
  */
 public record CallOptions(
         Duration connectTimeout,
@@ -21,7 +20,7 @@
         ConnectionPolicy connection,
         Predicate<HttpHeaders> matchesCall) {
 
-    /** Suits calls that may be repeated. */
+    /** For calls that may be retried. */
     public static final CallOptions DEFAULT =
             of(Duration.ofSeconds(1), Duration.ofSeconds(30), false);
 
@@ -33,19 +32,19 @@
     }
 
     /**
-     * Returns options for a peer whose responses come in order.
+     * Returns options for a server whose responses need no check that they belong to the call.
      *
-     * @param connectTimeout the longest wait for a new connection
-     * @param inactivityTimeout the longest wait without any byte of the response
-     * @param freshConnection whether the call needs a connection of its own
+     * @param connectTimeout the timeout for opening a connection
+     * @param inactivityTimeout the longest time without receiving data
+     * @param newConnection whether the call needs a new connection
      * @return the options
      */
     public static CallOptions of(
             final Duration connectTimeout,
             final Duration inactivityTimeout,
-            final boolean freshConnection) {
+            final boolean newConnection) {
         final ConnectionPolicy connection =
-                freshConnection ? ConnectionPolicy.dedicated() : ConnectionPolicy.pooled();
+                newConnection ? ConnectionPolicy.dedicated() : ConnectionPolicy.pooled();
         return new CallOptions(connectTimeout, inactivityTimeout, connection, headers -> true);
     }
 }
--- a/fennelstage-http/src/main/java/org/fennelstage/http/ConnectionHandler.java
+++ b/fennelstage-http/src/main/java/org/fennelstage/http/ConnectionHandler.java
@@ -17,9 +17,9 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Hands the requests of one connection to the handler one after the other.
+ * Passes the requests of one connection to the handler one at a time, in order.
  *
- * <p>Confined to the connection's event loop.
+ * <p>Not thread-safe; confined to the event loop.
  */
 final class ConnectionHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
@@ -36,7 +36,7 @@
         this.closing = closing;
     }
 
-    /** Tells whether a request on this connection has no whole answer yet. */
+    /** Returns whether a request on this connection has no complete response yet. */
     boolean isBusy() {
         return current != null || !waiting.isEmpty();
     }
@@ -46,7 +46,7 @@
             final ChannelHandlerContext context, final FullHttpRequest request) {
         if (request.decoderResult().isFailure()) {
             final Throwable cause = request.decoderResult().cause();
-            refuse(context, statusFor(cause), cause);
+            reject(context, statusFor(cause), cause);
             return;
         }
         if (current == null) {
@@ -84,11 +84,10 @@
             context.fireUserEventTriggered(event);
             return;
         }
-        // A request in work may be silent for long. A peer that neither sends the rest of its
-        // request nor reads our response holds memory for nothing; the symptom is a slowly growing
-        // count of open connections.
-        final boolean waitsForUs = current != null && context.channel().isWritable();
-        if (!waitsForUs) {
+        // Closes connections of callers that neither send the rest of a request nor read their
+        // response, but not while a request is running: its response may take long.
+        final boolean awaitsResponse = current != null && context.channel().isWritable();
+        if (!awaitsResponse) {
             context.close();
         }
     }
@@ -103,16 +102,15 @@
 
     private void start(final ChannelHandlerContext context, final FullHttpRequest request) {
         final ServerExchange exchange =
-                new ServerExchange(context, request, closing, () -> next(context));
+                new ServerExchange(context, request, closing, () -> startNext(context));
         current = exchange;
-        // A peer that gave up waiting has closed its connection behind the request. After a process
-        // stood still, or right after its start, many do, and working for them takes the time of
-        // those who still wait. The end of a connection is read in the same turn of the event loop
-        // as the request; a task runs after that turn, when the exchange knows that its peer left.
+        // A caller may have closed its connection after sending the request. The close is read in
+        // the same event loop iteration as the request, and this task runs after it, so the handler
+        // can skip requests whose caller is gone.
         context.channel().eventLoop().execute(() -> handler.handle(exchange));
     }
 
-    private void next(final ChannelHandlerContext context) {
+    private void startNext(final ChannelHandlerContext context) {
         current = null;
         final FullHttpRequest request = waiting.poll();
         if (request != null) {
@@ -127,11 +125,11 @@
                 : HttpResponseStatus.BAD_REQUEST;
     }
 
-    private static void refuse(
+    private static void reject(
             final ChannelHandlerContext context,
             final HttpResponseStatus status,
             final Throwable cause) {
-        final String text = Refusals.body("malformed", String.valueOf(cause.getMessage()));
+        final String text = ErrorBodies.body("malformed", String.valueOf(cause.getMessage()));
         final DefaultFullHttpResponse response =
                 new DefaultFullHttpResponse(
                         HttpVersion.HTTP_1_1,
--- a/fennelstage-http/src/main/java/org/fennelstage/http/ConnectionPolicy.java
+++ b/fennelstage-http/src/main/java/org/fennelstage/http/ConnectionPolicy.java
@@ -4,24 +4,22 @@
 import java.util.Objects;
 
 /**
- * Which connections may carry a call, and what becomes of its connection. Immutable and
+ * Which connections may carry a call, and whether its connection is kept afterwards. Immutable and
  * thread-safe.
  *
- * @param maxIdleTime the longest time since its last use for which a kept connection may carry the
- *     call; zero for a connection of its own
- * @param maxIdleConnections how many idle connections are kept at the address once the call has
- *     ended
- * @param firstUseDelay how long a new connection must have stood before the call goes out on it;
+ * @param maxIdleTime the longest time for which a reused connection may have been idle; zero to
+ *     always open a new connection
+ * @param maxIdleConnections the maximum number of idle connections to the address after the call
+ * @param firstUseDelay how long a new connection must stay open before the request is sent on it;
  *     zero to send at once
  */
 public record ConnectionPolicy(
         Duration maxIdleTime, int maxIdleConnections, Duration firstUseDelay) {
 
-    /** Longer than servers keep idle connections: any kept connection will do. */
-    private static final Duration ANY_IDLE = Duration.ofHours(1);
+    /** Longer than servers keep idle connections, so that any open connection is reused. */
+    private static final Duration UNLIMITED_IDLE_TIME = Duration.ofHours(1);
 
-    /** Enough for the bursts of one client, where its server has room for many. */
-    private static final int DEFAULT_MOST_IDLE = 16;
+    private static final int DEFAULT_MAX_IDLE_CONNECTIONS = 16;
 
     public ConnectionPolicy {
         Objects.requireNonNull(maxIdleTime, "maxIdleTime is null");
@@ -29,20 +27,21 @@
     }
 
     /**
-     * Returns the use of any kept connection.
+     * Returns the policy of calls that may reuse any idle connection.
      *
-     * @return the use
+     * @return the policy
      */
     public static ConnectionPolicy pooled() {
-        return new ConnectionPolicy(ANY_IDLE, DEFAULT_MOST_IDLE, Duration.ZERO);
+        return new ConnectionPolicy(
+                UNLIMITED_IDLE_TIME, DEFAULT_MAX_IDLE_CONNECTIONS, Duration.ZERO);
     }
 
     /**
-     * Returns the use of a connection of the call's own.
+     * Returns the policy of calls that need a new connection.
      *
-     * @return the use
+     * @return the policy
      */
     public static ConnectionPolicy dedicated() {
-        return new ConnectionPolicy(Duration.ZERO, DEFAULT_MOST_IDLE, Duration.ZERO);
+        return new ConnectionPolicy(Duration.ZERO, DEFAULT_MAX_IDLE_CONNECTIONS, Duration.ZERO);
     }
 }
--- a/fennelstage-http/src/main/java/org/fennelstage/http/ConnectionPool.java
+++ b/fennelstage-http/src/main/java/org/fennelstage/http/ConnectionPool.java
@@ -10,34 +10,36 @@
 import java.util.Optional;
 
 /**
- * Idle connections by address, the last used first.
+ * Idle connections by address; the most recently used one is taken first.
  *
- * <p>Invariant: a connection handed out is open, was idle no longer than the caller allows, and is
- * not close to the end of the time for which its server promised to keep it; after a call no more
- * are kept than it allows, and none that has rested for longer than it allows: those would count
- * against what the server accepts and be of no use. Confined to one event loop.
+ * <p>Invariant: a connection is handed out only if it is open, has been idle for no longer than the
+ * caller allows, and is not near the end of its server's Keep-Alive time; after a connection was
+ * returned, the address has no more idle connections, and none idle for longer, than the call's
+ * {@link ConnectionPolicy} allows, since they would count against the server's connection limit.
+ *
+ * <p>Not thread-safe; confined to the event loop.
  */
 final class ConnectionPool {
 
     /**
-     * Share of the server's Keep-Alive time after which a connection is no longer used. A request
-     * that crosses the server's close is lost without an answer; half leaves more than any delay on
-     * the way.
+     * Fraction of the server's Keep-Alive time during which a connection is reused. A request sent
+     * while the server closes the connection is lost without a response; the margin covers network
+     * delays.
      */
-    private static final double USED_SHARE_OF_KEEP_ALIVE = 0.5;
+    private static final double USABLE_KEEP_ALIVE_FRACTION = 0.5;
 
-    private record Idle(Channel channel, long sinceNanos, long usableNanos) {}
+    private record Idle(Channel channel, long idleSinceNanos, long usableNanos) {}
 
     private final Map<InetSocketAddress, Deque<Idle>> idle = new HashMap<>();
 
-    Optional<Channel> take(final InetSocketAddress address, final Duration maxIdle) {
+    Optional<Channel> take(final InetSocketAddress address, final Duration maxIdleTime) {
         final Deque<Idle> connections = idle.get(address);
         while (connections != null && !connections.isEmpty()) {
             final Idle newest = connections.pollLast();
-            final long idleNanos = System.nanoTime() - newest.sinceNanos();
+            final long idleNanos = System.nanoTime() - newest.idleSinceNanos();
             if (newest.channel().isActive()
                     && idleNanos < newest.usableNanos()
-                    && idleNanos < maxIdle.toNanos()) {
+                    && idleNanos < maxIdleTime.toNanos()) {
                 return Optional.of(newest.channel());
             }
             newest.channel().close();
@@ -48,25 +50,26 @@
     void put(
             final InetSocketAddress address,
             final Channel channel,
-            final Optional<Duration> keptFor,
-            final ConnectionPolicy use) {
+            final Optional<Duration> keepAlive,
+            final ConnectionPolicy policy) {
         final Deque<Idle> connections = idle.computeIfAbsent(address, a -> new ArrayDeque<>());
-        closeRested(connections, use.maxIdleTime());
-        if (!channel.isActive() || connections.size() >= use.maxIdleConnections()) {
+        closeExpired(connections, policy.maxIdleTime());
+        if (!channel.isActive() || connections.size() >= policy.maxIdleConnections()) {
             channel.close();
             return;
         }
-        final long usable =
-                keptFor.map(d -> (long) (d.toNanos() * USED_SHARE_OF_KEEP_ALIVE))
+        final long usableNanos =
+                keepAlive
+                        .map(d -> (long) (d.toNanos() * USABLE_KEEP_ALIVE_FRACTION))
                         .orElse(Long.MAX_VALUE);
-        connections.addLast(new Idle(channel, System.nanoTime(), usable));
+        connections.addLast(new Idle(channel, System.nanoTime(), usableNanos));
     }
 
-    private static void closeRested(final Deque<Idle> connections, final Duration maxIdle) {
+    private static void closeExpired(final Deque<Idle> connections, final Duration maxIdleTime) {
         final long now = System.nanoTime();
-        while (!maxIdle.isZero()
+        while (!maxIdleTime.isZero()
                 && !connections.isEmpty()
-                && now - connections.peekFirst().sinceNanos() >= maxIdle.toNanos()) {
+                && now - connections.peekFirst().idleSinceNanos() >= maxIdleTime.toNanos()) {
             connections.pollFirst().channel().close();
         }
     }
@@ -78,7 +81,7 @@
         }
     }
 
-    void forget(final InetSocketAddress address, final Channel channel) {
+    void remove(final InetSocketAddress address, final Channel channel) {
         final Deque<Idle> connections = idle.get(address);
         if (connections == null) {
             return;
--- a/fennelstage-http/src/main/java/org/fennelstage/http/Refusals.java
+++ b/fennelstage-http/src/main/java/org/fennelstage/http/ErrorBodies.java
@@ -1,9 +1,9 @@
 package org.fennelstage.http;
 
-/** Bodies of refusals that the HTTP layer itself sends. Stateless and thread-safe. */
-final class Refusals {
+/** JSON bodies of the rejections that the HTTP layer itself sends. Stateless and thread-safe. */
+final class ErrorBodies {
 
-    private Refusals() {}
+    private ErrorBodies() {}
 
     static String body(final String reason, final String detail) {
         return "{\"error\":{\"outcome\":\"refused-not-run\",\"reason\":\""
--- a/fennelstage-http/src/main/java/org/fennelstage/http/HeaderTimeout.java
+++ b/fennelstage-http/src/main/java/org/fennelstage/http/HeaderTimeout.java
@@ -11,13 +11,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Answers 408 when the head of a request is not complete some time after its first byte.
+ * Responds with 408 when a request's head is not complete within a time limit from its first byte.
  *
- * <p>A peer that sends a header a byte at a time would hold a connection and its memory for as long
- * as it likes; each byte resets an idle timer, so only a limit on the whole head ends it.
+ * <p>A caller that sends the head byte by byte resets an idle timer with each byte, so only a limit
+ * on the whole head stops it from holding a connection.
  *
- * <p>Stands before the decoder, with {@link #headListener()} behind it. Confined to the
- * connection's event loop.
+ * <p>Placed before the decoder, with {@link #headListener()} after it.
+ *
+ * <p>Not thread-safe; confined to the event loop.
  */
 final class HeaderTimeout extends ChannelInboundHandlerAdapter {
 
@@ -25,15 +26,15 @@
             "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
                     .getBytes(StandardCharsets.US_ASCII);
 
-    private final Duration limit;
+    private final Duration timeout;
     private boolean inRequest;
     private ScheduledFuture<?> timer;
 
-    HeaderTimeout(final Duration limit) {
-        this.limit = limit;
+    HeaderTimeout(final Duration timeout) {
+        this.timeout = timeout;
     }
 
-    /** Tells whether a part of a request has been read. */
+    /** Returns whether a part of a request has been read, but not all of it. */
     boolean isReading() {
         return inRequest || timer != null;
     }
@@ -60,7 +61,9 @@
             timer =
                     context.executor()
                             .schedule(
-                                    () -> refuse(context), limit.toMillis(), TimeUnit.MILLISECONDS);
+                                    () -> reject(context),
+                                    timeout.toMillis(),
+                                    TimeUnit.MILLISECONDS);
         }
         context.fireChannelRead(message);
     }
@@ -71,7 +74,7 @@
         context.fireChannelInactive();
     }
 
-    private void refuse(final ChannelHandlerContext context) {
+    private void reject(final ChannelHandlerContext context) {
         context.writeAndFlush(context.alloc().buffer(RESPONSE.length).writeBytes(RESPONSE))
                 .addListener(LingeringClose.AFTER_WRITE);
     }
--- a/fennelstage-http/src/main/java/org/fennelstage/http/HttpClient.java
+++ b/fennelstage-http/src/main/java/org/fennelstage/http/HttpClient.java
@@ -27,20 +27,21 @@
 import jdk.net.ExtendedSocketOptions;
 
 /**
- * An HTTP/1.1 client with a pool of connections, bound to one event loop.
+ * An HTTP/1.1 client with a connection pool.
  *
- * <p>A request and all calls made for it share a loop, so their state needs no locks. Confined to
- * its event loop; {@link #send} may be called only there.
+ * <p>A request and all calls made for it share an event loop, so that their state needs no locks.
+ *
+ * <p>Not thread-safe; confined to {@link #eventLoop()}.
  */
 public final class HttpClient {
 
-    private static final Set<HttpMethod> BODILESS =
+    private static final Set<HttpMethod> METHODS_WITHOUT_BODY =
             Set.of(HttpMethod.GET, HttpMethod.HEAD, HttpMethod.DELETE);
 
     /**
-     * A peer without power or behind a partition sends no reset: a call on its connection would
-     * wait for as long as its time-out. Probes of the operating system end the connection after
-     * three seconds instead: one idle, and two probes a second apart without an answer.
+     * Time without traffic before the first TCP keep-alive probe, and between probes. A server
+     * without power or behind a network partition sends no reset; with these values the operating
+     * system closes the connection after about three seconds instead of the call's timeout.
      */
     private static final int KEEP_ALIVE_SECONDS = 1;
 
@@ -54,7 +55,7 @@
             NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPCOUNT);
 
     private final EventLoop loop;
-    private final ConnectionPool idle = new ConnectionPool();
+    private final ConnectionPool pool = new ConnectionPool();
     private long connectionsOpened;
 
     /**
@@ -71,32 +72,32 @@
     }
 
     /**
-     * Returns how many connections this client has opened.
+     * Returns the number of connections that this client has opened.
      *
-     * @return the count
+     * @return the number of connections
      */
     public long connectionsOpened() {
         return connectionsOpened;
     }
 
     /**
-     * Closes the idle connections to an address. After a server went silent, they are dead without
-     * a word: a call on one waits for bytes, where a new connection fails in a moment.
+     * Closes the idle connections to an address. After a server stopped responding, a call on an
+     * old connection would wait for its timeout, while opening a new connection fails quickly.
      *
      * @param address the address
      */
     public void closeIdle(final InetSocketAddress address) {
-        idle.closeAll(address);
+        pool.closeAll(address);
     }
 
     /**
      * Sends a request.
      *
-     * @param address where to
+     * @param address the server's address
      * @param request the request; ownership passes to this method
-     * @param options how
-     * @param listener hears the response
-     * @return the call
+     * @param options the options of this call
+     * @param listener receives the response
+     * @return the call, to cancel or pause it
      */
     public Call send(
             final InetSocketAddress address,
@@ -108,33 +109,33 @@
                     .set(HttpHeaderNames.HOST, address.getHostString() + ":" + address.getPort());
         }
         final int length = request.content().readableBytes();
-        if (length > 0 || !BODILESS.contains(request.method())) {
+        if (length > 0 || !METHODS_WITHOUT_BODY.contains(request.method())) {
             request.headers().set(HttpHeaderNames.CONTENT_LENGTH, length);
         }
         final Call call = new Call();
-        final Optional<Channel> kept =
+        final Optional<Channel> pooled =
                 options.connection().maxIdleTime().isZero()
                         ? Optional.empty()
-                        : idle.take(address, options.connection().maxIdleTime());
-        kept.ifPresentOrElse(
-                pooled -> write(pooled, address, request, options, call, listener),
+                        : pool.take(address, options.connection().maxIdleTime());
+        pooled.ifPresentOrElse(
+                channel -> write(channel, address, request, options, call, listener),
                 () -> connect(address, request, options, call, listener));
         return call;
     }
 
     /**
-     * Finds out whether anybody listens at an address. A connection that is accepted is kept for
+     * Checks whether a server accepts connections at an address. An accepted connection is kept for
      * the next call.
      *
      * @param address the address
-     * @param timeout the longest wait
-     * @param use what becomes of the connection
-     * @param result takes the end
+     * @param timeout the connect timeout
+     * @param policy how long the connection must stay open, and whether it is kept
+     * @param result receives the result
      */
     public void probe(
             final InetSocketAddress address,
             final Duration timeout,
-            final ConnectionPolicy use,
+            final ConnectionPolicy policy,
             final Consumer<ProbeResult> result) {
         final ChannelFuture connected = open(address, timeout);
         connected.addListener(
@@ -142,27 +143,27 @@
                     if (f.isSuccess()) {
                         final Channel opened = connected.channel();
                         loop.schedule(
-                                () -> onSettled(opened, address, use, result),
-                                use.firstUseDelay().toNanos(),
+                                () -> onProbeDelayElapsed(opened, address, policy, result),
+                                policy.firstUseDelay().toNanos(),
                                 TimeUnit.NANOSECONDS);
                         return;
                     }
-                    result.accept(resultOf(f.cause()));
+                    result.accept(toProbeResult(f.cause()));
                 });
     }
 
-    private void onSettled(
+    private void onProbeDelayElapsed(
             final Channel opened,
             final InetSocketAddress address,
-            final ConnectionPolicy use,
+            final ConnectionPolicy policy,
             final Consumer<ProbeResult> result) {
-        final boolean stands = opened.isActive();
-        idle.put(address, opened, Optional.empty(), use);
-        result.accept(stands ? ProbeResult.ACCEPTED : ProbeResult.TURNED_AWAY);
+        final boolean accepted = opened.isActive();
+        pool.put(address, opened, Optional.empty(), policy);
+        result.accept(accepted ? ProbeResult.ACCEPTED : ProbeResult.TURNED_AWAY);
     }
 
-    private static ProbeResult resultOf(final Throwable cause) {
-        if (wasReset(cause)) {
+    private static ProbeResult toProbeResult(final Throwable cause) {
+        if (wasResetWhileConnecting(cause)) {
             return ProbeResult.TURNED_AWAY;
         }
         final boolean refused =
@@ -171,11 +172,11 @@
     }
 
     /**
-     * Tells whether the server took the connection and reset it before this process had noticed
-     * that it stands. Such a server is as well as one that resets it a moment later; taken for one
-     * out of reach, it would get no request for a while.
+     * Returns whether the server accepted the connection and reset it before the connect completed
+     * here. Such a server is treated like one that resets the connection a moment later, not as
+     * unreachable.
      */
-    private static boolean wasReset(final Throwable cause) {
+    private static boolean wasResetWhileConnecting(final Throwable cause) {
         return cause instanceof SocketException
                 && !(cause instanceof ConnectException)
                 && !(cause instanceof NoRouteToHostException);
@@ -208,7 +209,7 @@
                     if (f.isSuccess()) {
                         connectionsOpened++;
                         final Channel opened = connected.channel();
-                        opened.closeFuture().addListener(c -> idle.forget(address, opened));
+                        opened.closeFuture().addListener(c -> pool.remove(address, opened));
                     }
                 });
         return connected;
@@ -224,11 +225,12 @@
         connected.addListener(
                 f -> {
                     if (f.isSuccess()) {
-                        settle(connected.channel(), address, request, options, call, listener);
+                        writeAfterDelay(
+                                connected.channel(), address, request, options, call, listener);
                         return;
                     }
-                    notSent(
-                            wasReset(f.cause())
+                    failNotSent(
+                            wasResetWhileConnecting(f.cause())
                                     ? CallFailure.Phase.CONNECTION_REJECTED
                                     : CallFailure.Phase.NOT_SENT,
                             "cannot connect to " + address,
@@ -239,19 +241,19 @@
     }
 
     /**
-     * Waits for a moment before the call goes out on a new connection, if the call asks for it. A
-     * server that has as many connections as it accepts takes a further one and resets it at once:
-     * a request that was sent meanwhile is lost, and nobody can tell whether it ran.
+     * Writes the request after the delay that the call's {@link ConnectionPolicy} sets for new
+     * connections. A server at its connection limit may accept a connection and reset it at once;
+     * it would be unknown whether a request that was already sent has run.
      */
-    private void settle(
+    private void writeAfterDelay(
             final Channel opened,
             final InetSocketAddress address,
             final FullHttpRequest request,
             final CallOptions options,
             final Call call,
             final ResponseListener listener) {
-        final Duration settling = options.connection().firstUseDelay();
-        if (settling.isZero()) {
+        final Duration delay = options.connection().firstUseDelay();
+        if (delay.isZero()) {
             write(opened, address, request, options, call, listener);
             return;
         }
@@ -260,19 +262,19 @@
                     if (opened.isActive()) {
                         write(opened, address, request, options, call, listener);
                     } else {
-                        notSent(
+                        failNotSent(
                                 CallFailure.Phase.CONNECTION_REJECTED,
-                                "turned away by " + address,
+                                "connection rejected by " + address,
                                 request,
                                 call,
                                 listener);
                     }
                 },
-                settling.toNanos(),
+                delay.toNanos(),
                 TimeUnit.NANOSECONDS);
     }
 
-    private static void notSent(
+    private static void failNotSent(
             final CallFailure.Phase phase,
             final String detail,
             final FullHttpRequest request,
@@ -293,7 +295,7 @@
             final ResponseListener listener) {
         if (call.isCancelled()) {
             request.release();
-            idle.put(address, channel, Optional.empty(), options.connection());
+            pool.put(address, channel, Optional.empty(), options.connection());
             return;
         }
         call.attach(channel);
@@ -304,7 +306,7 @@
                 call,
                 listener,
                 options,
-                keptFor -> idle.put(address, channel, keptFor, options.connection()));
+                keepAlive -> pool.put(address, channel, keepAlive, options.connection()));
         channel.writeAndFlush(request).addListener(f -> handler.requestWritten());
     }
 }
--- a/fennelstage-http/src/main/java/org/fennelstage/http/HttpServer.java
+++ b/fennelstage-http/src/main/java/org/fennelstage/http/HttpServer.java
@@ -26,21 +26,21 @@
 /**
  * An HTTP/1.1 server on one address.
  *
- * <p>Invariant: requests of one connection are answered in order, one at a time. Thread-safe.
+ * <p>Invariant: requests of one connection are handled in order, one at a time. Thread-safe.
  */
 public final class HttpServer implements AutoCloseable {
 
-    /** Reads of one connection in a row, so that none holds up the others; Netty's own default. */
-    private static final int MAX_READS_PER_TURN = 16;
+    /** Bounds the reads of one connection in a row, so that it does not delay the others. */
+    private static final int MAX_CONSECUTIVE_READS = 16;
 
     /**
-     * Reads a connection until it holds nothing more, so that its end is read together with the
-     * request before it and not a turn of the event loop later. It costs one read a request.
+     * Reads until the socket has no more data, so that a close by the caller is read in the same
+     * event loop iteration as the request before it. {@link ConnectionHandler} relies on this.
      */
-    private static final RecvByteBufAllocator UNTIL_NOTHING_IS_LEFT =
+    private static final RecvByteBufAllocator READ_UNTIL_EMPTY =
             new AdaptiveRecvByteBufAllocator()
                     .respectMaybeMoreData(false)
-                    .maxMessagesPerRead(MAX_READS_PER_TURN);
+                    .maxMessagesPerRead(MAX_CONSECUTIVE_READS);
 
     private final Channel listener;
     private final ChannelGroup connections;
@@ -54,12 +54,12 @@
     }
 
     /**
-     * Binds and serves without TLS.
+     * Starts a server without TLS.
      *
      * @param group the event loops
-     * @param address where to listen; port 0 takes any free one
-     * @param limits the bounds per connection
-     * @param handler answers the requests
+     * @param address the address to listen on; port 0 selects a free port
+     * @param limits the limits per connection
+     * @param handler handles the requests
      * @return the running server
      * @throws IOException if the address cannot be bound
      */
@@ -73,13 +73,13 @@
     }
 
     /**
-     * Binds and serves.
+     * Starts a server.
      *
      * @param group the event loops
-     * @param address where to listen; port 0 takes any free one
-     * @param limits the bounds per connection
-     * @param tls asked at each new connection, so that renewed keys need no restart
-     * @param handler answers the requests
+     * @param address the address to listen on; port 0 selects a free port
+     * @param limits the limits per connection; called for each new connection
+     * @param tls called for each new connection, so that renewed keys need no restart
+     * @param handler handles the requests
      * @return the running server
      * @throws IOException if the address cannot be bound
      */
@@ -100,7 +100,7 @@
                         .option(ChannelOption.SO_REUSEADDR, true)
                         .option(ChannelOption.SO_BACKLOG, 1024)
                         .childOption(ChannelOption.TCP_NODELAY, true)
-                        .childOption(ChannelOption.RCVBUF_ALLOCATOR, UNTIL_NOTHING_IS_LEFT)
+                        .childOption(ChannelOption.RCVBUF_ALLOCATOR, READ_UNTIL_EMPTY)
                         .childHandler(
                                 new ChannelInitializer<SocketChannel>() {
                                     @Override
@@ -108,7 +108,7 @@
                                         connections.add(channel);
                                         final ConnectionHandler connection =
                                                 new ConnectionHandler(handler, closing::get);
-                                        build(channel, limits.get(), tls.get(), connection);
+                                        initPipeline(channel, limits.get(), tls.get(), connection);
                                     }
                                 });
         final var bound = bootstrap.bind(address).awaitUninterruptibly();
@@ -119,7 +119,7 @@
     }
 
     /**
-     * Returns the port it listens on.
+     * Returns the port the server listens on.
      *
      * @return the TCP port
      */
@@ -128,25 +128,25 @@
     }
 
     /**
-     * From now on, closes each connection after the response to its present or next request, and
-     * says so in the response. Connections on which nothing is asked stay open.
+     * From now on, closes each connection after the response to its current or next request, with
+     * {@code Connection: close}. Idle connections stay open.
      */
     public void closeAfterResponses() {
         closing.set(true);
     }
 
     /**
-     * Returns how many connections are open.
+     * Returns the number of open connections.
      *
-     * @return the count
+     * @return the number of connections
      */
     public int openConnections() {
         return connections.size();
     }
 
     /**
-     * Refuses new connections and closes those on which nothing is asked. Others close after their
-     * response if {@link #closeAfterResponses} was called. Does not block.
+     * Stops accepting connections and closes idle ones. Others close after their response if {@link
+     * #closeAfterResponses} was called. Does not block.
      */
     public void closeIdle() {
         listener.close();
@@ -160,29 +160,31 @@
                         () -> {
                             final ConnectionHandler handler =
                                     connection.pipeline().get(ConnectionHandler.class);
-                            final HeaderTimeout reading =
+                            final HeaderTimeout headerTimeout =
                                     connection.pipeline().get(HeaderTimeout.class);
                             final boolean busy =
-                                    handler == null || handler.isBusy() || reading.isReading();
+                                    handler == null
+                                            || handler.isBusy()
+                                            || headerTimeout.isReading();
                             if (!busy) {
                                 connection.close();
                             }
                         });
     }
 
-    /** Stops accepting connections; open ones go on. */
+    /** Stops accepting connections; open ones stay open. */
     public void stopAccepting() {
         listener.close().awaitUninterruptibly();
     }
 
-    /** Stops accepting and closes all connections. */
+    /** Stops accepting connections and closes all open ones. */
     @Override
     public void close() {
         stopAccepting();
         connections.close().awaitUninterruptibly();
     }
 
-    private static void build(
+    private static void initPipeline(
             final SocketChannel channel,
             final ServerLimits limits,
             final Optional<SslContext> tls,
--- a/fennelstage-http/src/main/java/org/fennelstage/http/KeepAlive.java
+++ b/fennelstage-http/src/main/java/org/fennelstage/http/KeepAlive.java
@@ -6,7 +6,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Reads the header with which a server says how long it keeps an idle connection. Stateless. */
+/** Parses the {@code Keep-Alive} response header. Stateless and thread-safe. */
 final class KeepAlive {
 
     private static final String HEADER = "keep-alive";
--- a/fennelstage-http/src/main/java/org/fennelstage/http/LingeringClose.java
+++ b/fennelstage-http/src/main/java/org/fennelstage/http/LingeringClose.java
@@ -7,17 +7,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Closes a connection after a refusal that was sent before the request was read whole.
+ * Closes a connection after a rejection that was sent before the whole request was read.
  *
- * <p>A close with unread bytes resets the connection, and the reset may overtake the refusal: the
- * peer sees a broken connection and not why. So only the sending side is shut at first, and what
- * still comes is read and dropped for a while. Stateless and thread-safe.
+ * <p>Closing a socket with unread bytes sends a reset, which can discard the response before the
+ * caller has read it. So the output is shut down first, and input is read and discarded for a
+ * moment before the close. Stateless and thread-safe.
  */
 final class LingeringClose implements ChannelFutureListener {
 
     static final LingeringClose AFTER_WRITE = new LingeringClose();
 
-    /** How long to drop what still comes; a peer reads a refusal well within it. */
     private static final long LINGER_MILLIS = 1_000;
 
     private LingeringClose() {}
--- a/fennelstage-http/src/main/java/org/fennelstage/http/ProbeResult.java
+++ b/fennelstage-http/src/main/java/org/fennelstage/http/ProbeResult.java
@@ -1,15 +1,13 @@
 package org.fennelstage.http;
 
-/** What became of an attempt to connect to a server. */
+/** Result of a probe of a server's address. Immutable and thread-safe. */
 public enum ProbeResult {
-    /** It took the connection and keeps it: somebody listens there. */
+    /** The server accepted the connection and kept it open. */
     ACCEPTED,
-    /**
-     * It took the connection and closed it at once: it has as many as it accepts, or it is ending.
-     */
+    /** The server accepted the connection and closed it at once: it is at its limit or stopping. */
     TURNED_AWAY,
-    /** Its machine answered that nobody listens there. */
+    /** The connection was refused: no process listens at the address. */
     REFUSED,
-    /** Nothing came back: the machine, or the way to it, may be down. */
+    /** No response within the timeout: the machine or the network path may be down. */
     SILENT
 }
--- a/fennelstage-http/src/main/java/org/fennelstage/http/RequestHandler.java
+++ b/fennelstage-http/src/main/java/org/fennelstage/http/RequestHandler.java
@@ -1,13 +1,13 @@
 package org.fennelstage.http;
 
-/** Answers requests. Called on the connection's event loop; must not block. */
+/** Handles requests. Called on the connection's event loop; must not block. */
 @FunctionalInterface
 public interface RequestHandler {
 
     /**
-     * Takes one request and answers it, now or later.
+     * Handles one request; may respond after it has returned.
      *
-     * @param exchange the request and the way to answer
+     * @param exchange the request and its response
      */
     void handle(ServerExchange exchange);
 }
--- a/fennelstage-http/src/main/java/org/fennelstage/http/ResponseHandler.java
+++ b/fennelstage-http/src/main/java/org/fennelstage/http/ResponseHandler.java
@@ -15,51 +15,51 @@
 import java.util.function.Consumer;
 
 /**
- * Feeds the response on one connection to the listener of the call that owns it.
+ * Passes the responses on one connection to the listener of the current call.
  *
- * <p>Invariant: a connection goes back to the pool only after a complete response that answered its
- * call, with the request written whole, no byte left over and no response dropped. Everything else
- * closes it, since nothing tells then to which request the next bytes belong.
+ * <p>Invariant: a connection returns to the pool only after a complete response that matches its
+ * call, with the request fully written, no bytes left over and no response dropped. Otherwise it is
+ * closed, since the next bytes could not be assigned to a request.
  *
- * <p>Confined to the connection's event loop.
+ * <p>Not thread-safe; confined to the event loop.
  */
 final class ResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
 
-    private ChannelHandlerContext own;
+    private ChannelHandlerContext handlerContext;
     private Call call;
     private ResponseListener listener;
     private CallOptions options = CallOptions.DEFAULT;
-    private Consumer<Optional<Duration>> giveBack;
-    private ScheduledFuture<?> silenceTimer;
+    private Consumer<Optional<Duration>> returnToPool;
+    private ScheduledFuture<?> inactivityTimer;
     private long lastReadNanos;
     private boolean requestWritten;
     private boolean headSeen;
-    private boolean used;
-    private boolean kept;
+    private boolean usedBefore;
+    private boolean reused;
     private boolean dropping;
     private boolean reusable;
-    private boolean returning;
-    private Optional<Duration> keptFor = Optional.empty();
+    private boolean responseEnded;
+    private Optional<Duration> keepAlive = Optional.empty();
 
     void begin(
             final Call newCall,
             final ResponseListener newListener,
             final CallOptions newOptions,
-            final Consumer<Optional<Duration>> newGiveBack) {
+            final Consumer<Optional<Duration>> newReturnToPool) {
         call = newCall;
         listener = newListener;
         options = newOptions;
-        giveBack = newGiveBack;
+        returnToPool = newReturnToPool;
         requestWritten = false;
         headSeen = false;
-        kept = used;
-        used = true;
+        reused = usedBefore;
+        usedBefore = true;
         dropping = false;
         reusable = true;
-        returning = false;
-        keptFor = Optional.empty();
+        responseEnded = false;
+        keepAlive = Optional.empty();
         lastReadNanos = System.nanoTime();
-        armSilenceTimer(options.inactivityTimeout().toNanos());
+        startInactivityTimer(options.inactivityTimeout().toNanos());
     }
 
     void requestWritten() {
@@ -68,13 +68,13 @@
 
     @Override
     public void handlerAdded(final ChannelHandlerContext context) {
-        own = context;
+        handlerContext = context;
     }
 
     @Override
     protected void channelRead0(final ChannelHandlerContext context, final HttpObject message) {
         if (listener == null) {
-            returning = false;
+            responseEnded = false;
             context.close();
             return;
         }
@@ -94,8 +94,8 @@
 
     @Override
     public void channelReadComplete(final ChannelHandlerContext context) {
-        if (returning) {
-            returning = false;
+        if (responseEnded) {
+            responseEnded = false;
             returnOrClose(context);
         }
         context.fireChannelReadComplete();
@@ -103,7 +103,7 @@
 
     @Override
     public void channelInactive(final ChannelHandlerContext context) {
-        cancelSilenceTimer();
+        cancelInactivityTimer();
         fail("connection closed");
         context.fireChannelInactive();
     }
@@ -114,27 +114,30 @@
         context.close();
     }
 
-    private void armSilenceTimer(final long nanos) {
-        silenceTimer = own.executor().schedule(this::checkSilence, nanos, TimeUnit.NANOSECONDS);
+    private void startInactivityTimer(final long nanos) {
+        inactivityTimer =
+                handlerContext
+                        .executor()
+                        .schedule(this::checkInactivity, nanos, TimeUnit.NANOSECONDS);
     }
 
-    private void checkSilence() {
-        silenceTimer = null;
+    private void checkInactivity() {
+        inactivityTimer = null;
         if (listener == null) {
             return;
         }
-        final boolean paused = !own.channel().config().isAutoRead();
+        final boolean paused = !handlerContext.channel().config().isAutoRead();
         if (paused) {
             lastReadNanos = System.nanoTime();
         }
-        final long left =
+        final long remainingNanos =
                 options.inactivityTimeout().toNanos() - (System.nanoTime() - lastReadNanos);
-        if (left > 0) {
-            armSilenceTimer(left);
+        if (remainingNanos > 0) {
+            startInactivityTimer(remainingNanos);
             return;
         }
-        fail("no byte for " + options.inactivityTimeout().toMillis() + " ms");
-        own.close();
+        fail("no data for " + options.inactivityTimeout().toMillis() + " ms");
+        handlerContext.close();
     }
 
     private void onHead(final HttpResponse response) {
@@ -147,7 +150,7 @@
         }
         headSeen = true;
         reusable = reusable && HttpUtil.isKeepAlive(response);
-        keptFor = KeepAlive.timeout(response.headers());
+        keepAlive = KeepAlive.timeout(response.headers());
         if (!call.isCancelled()) {
             listener.onHead(response.status().code(), response.headers());
         }
@@ -173,31 +176,32 @@
         listener = null;
         call = null;
         endedCall.detach();
-        cancelSilenceTimer();
+        cancelInactivityTimer();
         context.channel().config().setAutoRead(true);
-        returning = true;
+        responseEnded = true;
         if (!endedCall.isCancelled()) {
             ended.onEnd();
         }
     }
 
     /**
-     * Decides when all bytes that came with the end of the response have been seen. Earlier, a
-     * second response in the same packet would be read as the answer to the next request.
+     * Called after the read that completed the response, when all its bytes are decoded. Earlier, a
+     * second response in the same read would go unnoticed and be treated as the next one.
      */
     private void returnOrClose(final ChannelHandlerContext context) {
-        final boolean surplus = context.pipeline().get(StrictResponseDecoder.class).hasSurplus();
-        if (reusable && requestWritten && !surplus) {
-            giveBack.accept(keptFor);
+        final boolean excessBytes =
+                context.pipeline().get(StrictResponseDecoder.class).hasExcessBytes();
+        if (reusable && requestWritten && !excessBytes) {
+            returnToPool.accept(keepAlive);
         } else {
             context.close();
         }
     }
 
-    private void cancelSilenceTimer() {
-        if (silenceTimer != null) {
-            silenceTimer.cancel(false);
-            silenceTimer = null;
+    private void cancelInactivityTimer() {
+        if (inactivityTimer != null) {
+            inactivityTimer.cancel(false);
+            inactivityTimer = null;
         }
     }
 
@@ -210,11 +214,11 @@
         listener = null;
         call = null;
         failedCall.detach();
-        cancelSilenceTimer();
+        cancelInactivityTimer();
         if (!failedCall.isCancelled()) {
             final CallFailure.Phase phase =
                     headSeen ? CallFailure.Phase.RESPONDING : CallFailure.Phase.MAYBE_SENT;
-            failed.onFailure(new CallFailure(phase, kept && !headSeen, detail));
+            failed.onFailure(new CallFailure(phase, reused && !headSeen, detail));
         }
     }
 }
--- a/fennelstage-http/src/main/java/org/fennelstage/http/ResponseListener.java
+++ b/fennelstage-http/src/main/java/org/fennelstage/http/ResponseListener.java
@@ -4,15 +4,16 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * Hears the response to one call.
+ * Receives the response to one call.
  *
- * <p>Order: at most one head, then contents, then exactly one of end or failure. All calls come on
- * the call's event loop.
+ * <p>Invariant: {@code onHead} at most once, then {@code onContent} any number of times, then
+ * exactly one of {@code onEnd} and {@code onFailure}, all on the call's event loop; nothing after
+ * the call was cancelled.
  */
 public interface ResponseListener {
 
     /**
-     * The status line and headers came.
+     * Called when the status line and headers were received.
      *
      * @param status the status code
      * @param headers the headers
@@ -20,17 +21,17 @@
     void onHead(int status, HttpHeaders headers);
 
     /**
-     * A part of the body came.
+     * Called when a part of the body was received.
      *
-     * @param content the bytes, valid only during the call unless retained
+     * @param content the bytes; valid only until this method returns, unless retained
      */
     void onContent(ByteBuf content);
 
-    /** The response is whole. */
+    /** Called when the response is complete. */
     void onEnd();
 
     /**
-     * The response will not become whole.
+     * Called when the call failed and the response will not be completed.
      *
      * @param failure how far the request got, and why it failed
      */
--- a/fennelstage-http/src/main/java/org/fennelstage/http/Responses.java
+++ b/fennelstage-http/src/main/java/org/fennelstage/http/Responses.java
@@ -6,13 +6,13 @@
 import java.io.ByteArrayOutputStream;
 import java.util.function.Consumer;
 
-/** Listeners for common cases. Stateless and thread-safe. */
+/** Response listeners for common cases. Stateless and thread-safe. */
 public final class Responses {
 
     private Responses() {}
 
     /**
-     * A whole response. Its array is not changed after construction.
+     * A complete response. Thread-safe as long as nobody modifies its headers and body.
      *
      * @param status the status code
      * @param headers the headers
@@ -21,14 +21,14 @@
     public record Whole(int status, HttpHeaders headers, byte[] body) {}
 
     /**
-     * Collects the whole response before handing it on.
+     * Returns a listener that collects the complete response.
      *
-     * @param onWhole takes the response
-     * @param onFailure takes the failure
-     * @return the listener
+     * @param onResponse receives the response
+     * @param onFailure receives the failure
+     * @return the listener; not thread-safe
      */
     public static ResponseListener collecting(
-            final Consumer<Whole> onWhole, final Consumer<CallFailure> onFailure) {
+            final Consumer<Whole> onResponse, final Consumer<CallFailure> onFailure) {
         return new ResponseListener() {
             private final ByteArrayOutputStream body = new ByteArrayOutputStream();
             private int status;
@@ -47,7 +47,7 @@
 
             @Override
             public void onEnd() {
-                onWhole.accept(new Whole(status, headers, body.toByteArray()));
+                onResponse.accept(new Whole(status, headers, body.toByteArray()));
             }
 
             @Override
--- a/fennelstage-http/src/main/java/org/fennelstage/http/ServerExchange.java
+++ b/fennelstage-http/src/main/java/org/fennelstage/http/ServerExchange.java
@@ -23,10 +23,12 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * One request on a connection and the single response to it.
+ * A request received by the server, and its response.
  *
- * <p>Invariants: at most one response is begun and ended; calls after the end or after the
- * connection closed do nothing. Confined to {@link #eventLoop()}.
+ * <p>Invariant: at most one response is sent; calls after its end or after the connection was
+ * closed have no effect.
+ *
+ * <p>Not thread-safe; confined to {@link #eventLoop()}.
  */
 public final class ServerExchange {
 
@@ -38,7 +40,7 @@
 
     private static final int NO_CONTENT = 204;
     private static final int NOT_MODIFIED = 304;
-    private static final Runnable NOTHING = () -> {};
+    private static final Runnable NO_ACTION = () -> {};
 
     private final ChannelHandlerContext context;
     private final FullHttpRequest request;
@@ -48,9 +50,9 @@
     private final Runnable afterEnd;
     private State state = State.OPEN;
     private boolean closeAfter;
-    private boolean peerLeft;
-    private Runnable onClosed = NOTHING;
-    private Runnable onWritable = NOTHING;
+    private boolean callerDisconnected;
+    private Runnable onClosed = NO_ACTION;
+    private Runnable onWritable = NO_ACTION;
 
     ServerExchange(
             final ChannelHandlerContext context,
@@ -75,7 +77,7 @@
     }
 
     /**
-     * Returns the path and query as sent.
+     * Returns the path and query as received.
      *
      * @return the request target
      */
@@ -102,21 +104,21 @@
     }
 
     /**
-     * Registers what to do when the caller goes away before the end of the response. If it has left
-     * already, that is done at once.
+     * Registers an action to run when the caller disconnects before the end of the response. Runs
+     * it immediately if the caller has already disconnected.
      *
      * @param action the action
      */
     public void onClosed(final Runnable action) {
         onClosed = action;
-        final boolean leftUnseen = !context.channel().isActive() && state != State.ENDED;
-        if (peerLeft || leftUnseen) {
+        final boolean alreadyInactive = !context.channel().isActive() && state != State.ENDED;
+        if (callerDisconnected || alreadyInactive) {
             action.run();
         }
     }
 
     /**
-     * Registers what to do when the caller can take more bytes again.
+     * Registers an action to run when the connection becomes writable again.
      *
      * @param action the action
      */
@@ -125,9 +127,9 @@
     }
 
     /**
-     * Tells whether the caller keeps up with what is written.
+     * Returns whether more bytes may be written without exceeding the write buffer's limit.
      *
-     * @return false while too much is queued
+     * @return false while too many bytes are queued
      */
     public boolean isWritable() {
         return context.channel().isWritable();
@@ -138,10 +140,10 @@
     }
 
     /**
-     * Sends a whole response.
+     * Sends a complete response.
      *
      * @param status the status code
-     * @param headers the headers besides the length
+     * @param headers the headers; framing headers are set by this method
      * @param content the body
      */
     public void respond(final int status, final Map<String, String> headers, final byte[] content) {
@@ -149,7 +151,7 @@
     }
 
     /**
-     * Answers with a whole response.
+     * Sends a complete response.
      *
      * @param status the status code
      * @param headers the headers; framing headers are set by this method
@@ -173,7 +175,7 @@
     }
 
     /**
-     * Sends a whole response of text.
+     * Sends a complete response with a text body in UTF-8.
      *
      * @param status the status code
      * @param contentType the media type
@@ -187,10 +189,10 @@
     }
 
     /**
-     * Begins a response of unknown length.
+     * Begins a response whose length is not known yet; the body is sent in chunks.
      *
      * @param status the status code
-     * @param headers the headers
+     * @param headers the headers; framing headers are set by this method
      */
     public void begin(final int status, final Map<String, String> headers) {
         begin(status, toHeaders(headers));
@@ -220,7 +222,7 @@
     }
 
     /**
-     * Sends a part of a begun response.
+     * Sends a part of the body of a response that was begun.
      *
      * @param content the bytes; ownership passes to this method
      */
@@ -232,7 +234,7 @@
         context.writeAndFlush(new DefaultHttpContent(content));
     }
 
-    /** Ends a begun response so that the caller sees it as whole. */
+    /** Ends a response that was begun; the caller sees it as complete. */
     public void end() {
         if (state != State.STREAMING) {
             return;
@@ -240,7 +242,7 @@
         finish(LastHttpContent.EMPTY_LAST_CONTENT);
     }
 
-    /** Closes the connection, so that a begun response cannot be taken for a whole one. */
+    /** Closes the connection, so that the caller sees a response that was begun as incomplete. */
     public void abort() {
         if (state == State.ENDED) {
             return;
@@ -254,7 +256,7 @@
             return;
         }
         state = State.ENDED;
-        peerLeft = true;
+        callerDisconnected = true;
         onClosed.run();
     }
 
@@ -265,12 +267,12 @@
     }
 
     private void finish(final Object last) {
-        final boolean wholeResponse = last instanceof DefaultFullHttpResponse;
+        final boolean isFullResponse = last instanceof DefaultFullHttpResponse;
         state = State.ENDED;
-        // Asked again at the end of a stream: its head may have gone out before the server was told
-        // to close, and a connection left open then would take one more request.
+        // Evaluated again at the end of a stream: the server may have begun to close after the head
+        // was sent, and the connection must not accept another request then.
         closeAfter = !keepAlive || closing.getAsBoolean();
-        if (wholeResponse && closeAfter) {
+        if (isFullResponse && closeAfter) {
             ((DefaultFullHttpResponse) last)
                     .headers()
                     .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
--- a/fennelstage-http/src/main/java/org/fennelstage/http/ServerLimits.java
+++ b/fennelstage-http/src/main/java/org/fennelstage/http/ServerLimits.java
@@ -4,17 +4,18 @@
 import java.util.Objects;
 
 /**
- * Bounds on what one connection may take from the server. Immutable and thread-safe.
+ * Limits that the server applies to each connection. Immutable and thread-safe.
  *
  * @param maxHeaderBytes the largest request line or header block; bytes
  * @param maxBodyBytes the largest body; bytes
  * @param headerTimeout how long the head of a request may take from its first byte
- * @param idleTimeout how long a connection may stay silent while it owes us bytes or refuses ours
+ * @param idleTimeout how long a connection may be inactive, except while its request is running and
+ *     the caller reads what is sent
  */
 public record ServerLimits(
         int maxHeaderBytes, int maxBodyBytes, Duration headerTimeout, Duration idleTimeout) {
 
-    /** Suits JSON requests. */
+    /** For JSON requests. */
     public static final ServerLimits DEFAULT = of(16 * 1024, 1024 * 1024, Duration.ofSeconds(30));
 
     public ServerLimits {
@@ -23,11 +24,11 @@
     }
 
     /**
-     * Returns limits under which a request's head may take as long as a connection may be silent.
+     * Returns limits with the idle timeout as header timeout.
      *
      * @param maxHeaderBytes the largest request line or header block; bytes
      * @param maxBodyBytes the largest body; bytes
-     * @param idleTimeout how long a connection may stay silent
+     * @param idleTimeout how long a connection may be inactive, or the head of a request may take
      * @return the limits
      */
     public static ServerLimits of(
--- a/fennelstage-http/src/main/java/org/fennelstage/http/StrictRequestDecoder.java
+++ b/fennelstage-http/src/main/java/org/fennelstage/http/StrictRequestDecoder.java
@@ -4,17 +4,17 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 
 /**
- * Netty's request decoder, refusing a message with both a length and a transfer encoding.
+ * Netty's request decoder, which rejects a request with both {@code Content-Length} and {@code
+ * Transfer-Encoding}, as protection against request smuggling.
  *
- * <p>Two programs that disagree on which of the two counts disagree on where the next request
- * begins; an attacker uses that to slip a request past one of them.
+ * <p>Not thread-safe; confined to the event loop.
  */
 final class StrictRequestDecoder extends HttpRequestDecoder {
 
-    private static final int MAX_CHUNK = 64 * 1024;
+    private static final int MAX_CHUNK_BYTES = 64 * 1024;
 
     StrictRequestDecoder(final ServerLimits limits) {
-        super(limits.maxHeaderBytes(), limits.maxHeaderBytes(), MAX_CHUNK);
+        super(limits.maxHeaderBytes(), limits.maxHeaderBytes(), MAX_CHUNK_BYTES);
     }
 
     @Override
--- a/fennelstage-http/src/main/java/org/fennelstage/http/StrictResponseDecoder.java
+++ b/fennelstage-http/src/main/java/org/fennelstage/http/StrictResponseDecoder.java
@@ -4,27 +4,28 @@
 import io.netty.handler.codec.http.HttpResponseDecoder;
 
 /**
- * Netty's response decoder, telling whether bytes are left after a response.
+ * Netty's response decoder, which also reports bytes left over after a response.
  *
- * <p>A faulty server may send more than one response to one request. On a kept connection the
- * surplus would be taken for the answer to the next request: a caller would get what belongs to
- * another. Bytes that wait here when a response has ended are that surplus.
+ * <p>A faulty server may send more than one response to a request. On a reused connection the extra
+ * one would be treated as the response to the next request and could reach another caller.
+ *
+ * <p>Not thread-safe; confined to the event loop.
  */
 final class StrictResponseDecoder extends HttpResponseDecoder {
 
-    private boolean answersHead;
+    private boolean headRequested;
 
-    /** Tells whether the next response answers a HEAD request and so has no body. */
+    /** Sets whether the next response is to a HEAD request and so has no body. */
     void expect(final boolean headRequest) {
-        answersHead = headRequest;
+        headRequested = headRequest;
     }
 
     @Override
     protected boolean isContentAlwaysEmpty(final HttpMessage message) {
-        return answersHead || super.isContentAlwaysEmpty(message);
+        return headRequested || super.isContentAlwaysEmpty(message);
     }
 
-    boolean hasSurplus() {
+    boolean hasExcessBytes() {
         return actualReadableBytes() > 0;
     }
 }
--- a/fennelstage-http/src/main/java/org/fennelstage/http/package-info.java
+++ b/fennelstage-http/src/main/java/org/fennelstage/http/package-info.java
@@ -1,2 +1,2 @@
-/** HTTP/1.1 server and client over Netty's codec, as every process of the system uses them. */
+/** HTTP/1.1 server and client on Netty, used by all processes of the project. */
 package org.fennelstage.http;
--- a/fennelstage-http/src/test/java/org/fennelstage/http/HttpClientTest.java
+++ b/fennelstage-http/src/test/java/org/fennelstage/http/HttpClientTest.java
@@ -25,8 +25,8 @@
 
 class HttpClientTest {
 
-    private static final Duration PATIENCE = Duration.ofSeconds(10);
-    private static final String ANSWER = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+    private static final Duration TIMEOUT = Duration.ofSeconds(10);
+    private static final String RESPONSE = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final HttpClient client = new HttpClient(group.next());
@@ -47,16 +47,16 @@
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
 
-    /** Asks and returns what came: a {@code Responses.Whole} or a {@code CallFailure}. */
-    private CompletableFuture<Object> ask(final boolean freshConnection) {
-        return ask(CallOptions.of(PATIENCE, PATIENCE, freshConnection));
+    /** Sends a request; completes with a {@code Responses.Whole} or a {@code CallFailure}. */
+    private CompletableFuture<Object> send(final boolean newConnection) {
+        return send(CallOptions.of(TIMEOUT, TIMEOUT, newConnection));
     }
 
-    private CompletableFuture<Object> ask(final ConnectionPolicy use) {
-        return ask(new CallOptions(PATIENCE, PATIENCE, use, headers -> true));
+    private CompletableFuture<Object> send(final ConnectionPolicy policy) {
+        return send(new CallOptions(TIMEOUT, TIMEOUT, policy, headers -> true));
     }
 
-    private CompletableFuture<Object> ask(final CallOptions options) {
+    private CompletableFuture<Object> send(final CallOptions options) {
         final CompletableFuture<Object> end = new CompletableFuture<>();
         client.eventLoop()
                 .execute(
@@ -88,34 +88,31 @@
         }
     }
 
-    private static void answer(final Socket socket) throws IOException {
+    private static void respond(final Socket socket) throws IOException {
         readHead(socket);
-        socket.getOutputStream().write(ANSWER.getBytes(StandardCharsets.US_ASCII));
+        socket.getOutputStream().write(RESPONSE.getBytes(StandardCharsets.US_ASCII));
     }
 
-    private Socket answerOneOnANewConnection() throws Exception {
-        final CompletableFuture<Object> first = ask(false);
+    private Socket completeCallOnNewConnection() throws Exception {
+        final CompletableFuture<Object> first = send(false);
         final Socket socket = accept();
-        answer(socket);
+        respond(socket);
         assertThat(first.get()).isInstanceOf(Responses.Whole.class);
         return socket;
     }
 
-    /**
-     * Symptom: a sound server is left out. Events: it drops a connection that rested, and the next
-     * request on it is reset. Cause: the reset was held against the server.
-     */
+    /** Guards against counting a failure on a stale idle connection against its server. */
     @Test
-    void aFailureOnAKeptConnectionIsToldFromOneOnANewConnection() throws Exception {
-        final Socket kept = answerOneOnANewConnection();
-        final CompletableFuture<Object> second = ask(false);
+    void failureReportsWhetherTheConnectionWasReused() throws Exception {
+        final Socket kept = completeCallOnNewConnection();
+        final CompletableFuture<Object> second = send(false);
         readHead(kept);
         kept.close();
         assertThat(second.get())
                 .isInstanceOfSatisfying(
                         CallFailure.class, f -> assertThat(f.reusedConnection()).isTrue());
 
-        final CompletableFuture<Object> third = ask(false);
+        final CompletableFuture<Object> third = send(false);
         final Socket opened = accept();
         readHead(opened);
         opened.close();
@@ -125,35 +122,34 @@
     }
 
     /**
-     * Symptom: a payment's outcome is unknown though all servers are sound. Events: as above.
-     * Cause: a request that must not be repeated went out on a connection that had rested.
+     * Guards against unknown outcomes: a request that must not be sent twice must not fail because
+     * its idle connection was stale.
      */
     @Test
-    void aCallThatNeedsAConnectionOfItsOwnLeavesKeptOnesAlone() throws Exception {
-        final Socket kept = answerOneOnANewConnection();
-        final CompletableFuture<Object> own = ask(true);
+    void callWithDedicatedConnectionDoesNotReuseIdleConnections() throws Exception {
+        final Socket kept = completeCallOnNewConnection();
+        final CompletableFuture<Object> own = send(true);
         final Socket second = accept();
-        answer(second);
+        respond(second);
         assertThat(own.get()).isInstanceOf(Responses.Whole.class);
 
-        final List<CompletableFuture<Object>> next = List.of(ask(false), ask(false));
-        answer(kept);
-        answer(second);
+        final List<CompletableFuture<Object>> next = List.of(send(false), send(false));
+        respond(kept);
+        respond(second);
         assertThat(next.get(0).get()).isInstanceOf(Responses.Whole.class);
         assertThat(next.get(1).get()).isInstanceOf(Responses.Whole.class);
         assertThat(client.connectionsOpened()).isEqualTo(2);
     }
 
     /**
-     * Symptom: a payment's outcome is unknown though it never ran. Events: its server has as many
-     * connections as it accepts, takes a further one and resets it. Cause: the request was sent as
-     * soon as the connection stood.
+     * Guards against unknown outcomes: a request must not be sent before a server at its connection
+     * limit has reset the new connection.
      */
     @Test
-    void aCallThatWaitsForItsNewConnectionToSettleKnowsThatAServerTurnedItAway() throws Exception {
-        final ConnectionPolicy settling =
+    void callWithFirstUseDelayIsNotSentWhenTheServerResetsTheConnection() throws Exception {
+        final ConnectionPolicy delayed =
                 new ConnectionPolicy(Duration.ZERO, 1, Duration.ofMillis(300));
-        final CompletableFuture<Object> call = ask(settling);
+        final CompletableFuture<Object> call = send(delayed);
         final Socket full = accept();
         full.setSoLinger(true, 0);
         full.close();
@@ -166,25 +162,25 @@
                         });
     }
 
-    /** Symptom: see {@code ConnectionShareTest}; what is not kept is closed at the call's end. */
+    /** Guards against idle connections that use up the server's connection limit. */
     @Test
-    void noMoreConnectionsAreKeptThanTheCallAllows() throws Exception {
-        final ConnectionPolicy one = new ConnectionPolicy(PATIENCE, 1, Duration.ZERO);
-        final List<CompletableFuture<Object>> calls = List.of(ask(one), ask(one));
+    void idleConnectionsAreLimitedByThePolicy() throws Exception {
+        final ConnectionPolicy one = new ConnectionPolicy(TIMEOUT, 1, Duration.ZERO);
+        final List<CompletableFuture<Object>> calls = List.of(send(one), send(one));
         final List<Socket> sockets = List.of(accept(), accept());
         for (final Socket socket : sockets) {
-            answer(socket);
+            respond(socket);
         }
         for (final CompletableFuture<Object> call : calls) {
             assertThat(call.get()).isInstanceOf(Responses.Whole.class);
         }
-        final CompletableFuture<Object> third = ask(one);
+        final CompletableFuture<Object> third = send(one);
         int closed = 0;
         for (final Socket socket : sockets) {
             if (socket.getInputStream().read() < 0) {
                 closed++;
             } else {
-                socket.getOutputStream().write(ANSWER.getBytes(StandardCharsets.US_ASCII));
+                socket.getOutputStream().write(RESPONSE.getBytes(StandardCharsets.US_ASCII));
             }
         }
         assertThat(closed).isEqualTo(1);
@@ -194,44 +190,44 @@
 
     private ProbeResult probe(final InetSocketAddress address) throws Exception {
         final CompletableFuture<ProbeResult> result = new CompletableFuture<>();
-        final ConnectionPolicy use = ConnectionPolicy.pooled();
-        client.eventLoop().execute(() -> client.probe(address, PATIENCE, use, result::complete));
-        return result.get(PATIENCE.toMillis(), TimeUnit.MILLISECONDS);
+        final ConnectionPolicy policy = ConnectionPolicy.pooled();
+        client.eventLoop().execute(() -> client.probe(address, TIMEOUT, policy, result::complete));
+        return result.get(TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     @Test
-    void aServerThatListensIsFoundAndItsConnectionCarriesTheNextCall() throws Exception {
+    void probeConnectionIsReusedByTheNextCall() throws Exception {
         assertThat(probe(new InetSocketAddress(server.getInetAddress(), server.getLocalPort())))
                 .isEqualTo(ProbeResult.ACCEPTED);
-        final CompletableFuture<Object> end = ask(false);
+        final CompletableFuture<Object> end = send(false);
         final Socket socket = accept();
         readHead(socket);
-        socket.getOutputStream().write(ANSWER.getBytes(StandardCharsets.US_ASCII));
-        assertThat(end.get(PATIENCE.toMillis(), TimeUnit.MILLISECONDS))
+        socket.getOutputStream().write(RESPONSE.getBytes(StandardCharsets.US_ASCII));
+        assertThat(end.get(TIMEOUT.toMillis(), TimeUnit.MILLISECONDS))
                 .isInstanceOf(Responses.Whole.class);
         assertThat(client.connectionsOpened()).isEqualTo(1);
     }
 
     @Test
-    void aServerThatClosesAProbesConnectionAtOnceTurnsItAway() throws Exception {
+    void probeReportsThatTheServerClosedTheConnectionAtOnce() throws Exception {
         final CompletableFuture<ProbeResult> result = new CompletableFuture<>();
-        final ConnectionPolicy settling = new ConnectionPolicy(PATIENCE, 1, Duration.ofMillis(300));
+        final ConnectionPolicy delayed = new ConnectionPolicy(TIMEOUT, 1, Duration.ofMillis(300));
         client.eventLoop()
                 .execute(
                         () ->
                                 client.probe(
                                         new InetSocketAddress(
                                                 server.getInetAddress(), server.getLocalPort()),
-                                        PATIENCE,
-                                        settling,
+                                        TIMEOUT,
+                                        delayed,
                                         result::complete));
         accept().close();
-        assertThat(result.get(PATIENCE.toMillis(), TimeUnit.MILLISECONDS))
+        assertThat(result.get(TIMEOUT.toMillis(), TimeUnit.MILLISECONDS))
                 .isEqualTo(ProbeResult.TURNED_AWAY);
     }
 
     @Test
-    void anAddressWhereNobodyListensRefuses() throws Exception {
+    void probeReportsRefusedConnection() throws Exception {
         final InetSocketAddress address =
                 new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
         server.close();
--- a/fennelstage-http/src/test/java/org/fennelstage/http/HttpServerTest.java
+++ b/fennelstage-http/src/test/java/org/fennelstage/http/HttpServerTest.java
@@ -15,12 +15,12 @@
 
 class HttpServerTest {
 
-    private static final int PATIENCE_SECONDS = 10;
+    private static final int TIMEOUT_SECONDS = 10;
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
 
     @AfterEach
-    void stopLoops() {
+    void stopEventLoop() {
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
 
@@ -40,39 +40,38 @@
     }
 
     /**
-     * Symptom: work is done for callers that are gone. Events: the process stands still; a caller
-     * sends its request, gives up and closes; the process goes on. Cause: the request was handled
-     * before the end of its connection was read.
+     * Guards against running requests whose caller has disconnected: the close must be read before
+     * the request is handled.
      */
     @Test
-    void aHandlerLearnsAtOnceThatThePeerLeftBeforeItsRequestWasRead() throws Exception {
-        final CompletableFuture<Boolean> left = new CompletableFuture<>();
+    void handlerSeesThatTheCallerDisconnectedBeforeItsRequestWasRead() throws Exception {
+        final CompletableFuture<Boolean> disconnected = new CompletableFuture<>();
         try (HttpServer server =
                 start(
                         exchange -> {
-                            exchange.onClosed(() -> left.complete(true));
-                            left.complete(false);
+                            exchange.onClosed(() -> disconnected.complete(true));
+                            disconnected.complete(false);
                         })) {
-            final CountDownLatch still = new CountDownLatch(1);
+            final CountDownLatch loopBlocked = new CountDownLatch(1);
             group.execute(
                     () -> {
                         try {
-                            still.await();
+                            loopBlocked.await();
                         } catch (final InterruptedException e) {
                             Thread.currentThread().interrupt();
                         }
                     });
             send(server).close();
-            still.countDown();
-            assertThat(left.get(PATIENCE_SECONDS, TimeUnit.SECONDS)).isTrue();
+            loopBlocked.countDown();
+            assertThat(disconnected.get(TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
         }
     }
 
     @Test
-    void aPeerThatWaitsIsAnswered() throws Exception {
+    void connectedCallerGetsResponse() throws Exception {
         try (HttpServer server = start(exchange -> exchange.respond(200, "text/plain", "ok"));
                 Socket socket = send(server)) {
-            socket.setSoTimeout(PATIENCE_SECONDS * 1_000);
+            socket.setSoTimeout(TIMEOUT_SECONDS * 1_000);
             final byte[] status = socket.getInputStream().readNBytes(15);
             assertThat(new String(status, StandardCharsets.US_ASCII)).isEqualTo("HTTP/1.1 200 OK");
         }
--- a/spec/guards/run.py
+++ b/spec/guards/run.py
@@ -205,7 +205,7 @@
      "(int) (accepted * KEPT_PART / sharers)", "Math.max(MOST, (int) (accepted * KEPT_PART / sharers))",
      "ConnectionShareTest"),
     ("new-connection-settles", HTTP + "http/HttpClient.java",
-     "if (settling.isZero()) {", "if (settling.toNanos() >= 0) {",
+     "if (delay.isZero()) {", "if (delay.toNanos() >= 0) {",
      "HttpClientTest"),
     ("middle-model-is-learnt", CORE + "sizing/Opinions.java",
      "gain(smaller, larger).add(then - opinion);", "gain(smaller, larger).add(FIRST_GAIN);",
