--- a/fennelstage-objects/src/main/java/org/fennelstage/ini/IniException.java
+++ b/fennelstage-objects/src/main/java/org/fennelstage/ini/IniException.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** An INI file with mistakes; all of them are listed. */
+/** Thrown if an INI file has mistakes; lists all of them. */
 public final class IniException extends Exception {
 
     private static final long serialVersionUID = 1L;
@@ -12,7 +12,7 @@
     /**
      * Creates an exception.
      *
-     * @param mistakes one line each
+     * @param mistakes the mistakes, one line each
      */
     public IniException(final List<String> mistakes) {
         super(String.join(System.lineSeparator(), mistakes));
@@ -20,9 +20,9 @@
     }
 
     /**
-     * Returns the mistakes, each with file, section, key, what was found and what is allowed.
+     * Returns the mistakes, each with file, section, key, the value found and the values allowed.
      *
-     * @return one line each
+     * @return the mistakes, one line each
      */
     public List<String> mistakes() {
         return mistakes;
--- a/fennelstage-objects/src/main/java/org/fennelstage/ini/IniFile.java
+++ b/fennelstage-objects/src/main/java/org/fennelstage/ini/IniFile.java
@@ -20,15 +20,15 @@
 import org.apache.commons.text.similarity.LevenshteinDistance;
 
 /**
- * One INI file. Each value is asked for with what is allowed; what is wrong, missing or never asked
- * for becomes a mistake, and {@link #finish} throws them all.
+ * An INI file. Callers read each value with a description of the allowed values; wrong and missing
+ * values and unknown keys are collected, and {@link #finish} throws them all.
  *
- * <p>A value that is wrong reads as null, or the least allowed number; callers must not use what
- * they have built before {@link #finish} returned. Not thread-safe.
+ * <p>A wrong value reads as null, or as the smallest allowed number; callers must not use what they
+ * have built before {@link #finish} has returned. Not thread-safe.
  */
 public final class IniFile {
 
-    /** How an address is written. */
+    /** The format of an address, for messages. */
     public static final String ADDRESS = "IP:PORT";
 
     private static final int MAX_PORT = 65535;
@@ -37,8 +37,8 @@
     private final String name;
     private final INIConfiguration ini;
     private final List<String> mistakes = new ArrayList<>();
-    private final Set<String> known = new TreeSet<>();
-    private final Set<String> knownSections = new TreeSet<>();
+    private final Set<String> readKeys = new TreeSet<>();
+    private final Set<String> readSections = new TreeSet<>();
 
     private IniFile(final String name, final INIConfiguration ini) {
         this.name = name;
@@ -50,7 +50,7 @@
      *
      * @param path the file
      * @return the file's content
-     * @throws IniException if it cannot be read or is no INI file
+     * @throws IniException if it cannot be read or is not an INI file
      */
     public static IniFile read(final Path path) throws IniException {
         try (Reader reader = Files.newBufferedReader(path)) {
@@ -61,12 +61,12 @@
     }
 
     /**
-     * Reads a text.
+     * Reads INI text.
      *
-     * @param name its name for messages
+     * @param name the name of the text, for messages
      * @param reader the text
      * @return the content
-     * @throws IniException if it is no INI text
+     * @throws IniException if it cannot be read or is not an INI file
      */
     public static IniFile read(final String name, final Reader reader) throws IniException {
         final INIConfiguration ini = new INIConfiguration();
@@ -90,13 +90,13 @@
     /**
      * Reads a value.
      *
-     * @param <T> its type
+     * @param <T> the type of the value
      * @param section the section
      * @param key the key
-     * @param fallback the text if the key is missing, null if it must not be
-     * @param allowed says what is allowed
-     * @param parse reads the text; throws {@link IllegalArgumentException} if it is not allowed
-     * @return the value, null if it is wrong
+     * @param fallback the text to use if the key is missing; null if the key is required
+     * @param allowed a description of the allowed values, for messages
+     * @param parse parses the text; throws {@link IllegalArgumentException} if it is not allowed
+     * @return the value; null if it is wrong or missing
      */
     public <T> T value(
             final String section,
@@ -104,17 +104,17 @@
             final String fallback,
             final String allowed,
             final Function<String, T> parse) {
-        known.add(section + "." + key);
-        knownSections.add(section);
+        readKeys.add(section + "." + key);
+        readSections.add(section);
         final String text = ini.getSection(section).getString(key, fallback);
         if (text == null) {
-            mistakes.add(where(section, key) + ": missing; allowed is " + allowed);
+            mistakes.add(location(section, key) + ": missing; allowed is " + allowed);
             return null;
         }
         try {
             return parse.apply(text.trim());
         } catch (final IllegalArgumentException e) {
-            mistakes.add(where(section, key) + ": found '" + text + "'; allowed is " + allowed);
+            mistakes.add(location(section, key) + ": found '" + text + "'; allowed is " + allowed);
             return null;
         }
     }
@@ -124,54 +124,54 @@
      *
      * @param section the section
      * @param key the key
-     * @param fallback the text if the key is missing, null if it must not be
-     * @param least the least allowed
-     * @param most the most allowed
-     * @return the number, the least if it is wrong
+     * @param fallback the text to use if the key is missing; null if the key is required
+     * @param min the smallest allowed number
+     * @param max the largest allowed number
+     * @return the number; the smallest allowed if it is wrong or missing
      */
     public double number(
             final String section,
             final String key,
             final String fallback,
-            final double least,
-            final double most) {
-        final String allowed = "a number from " + plain(least) + " to " + plain(most);
-        final Double found = value(section, key, fallback, allowed, t -> inRange(t, least, most));
-        return found == null ? least : found;
+            final double min,
+            final double max) {
+        final String allowed = "a number from " + format(min) + " to " + format(max);
+        final Double found = value(section, key, fallback, allowed, t -> parseInRange(t, min, max));
+        return found == null ? min : found;
     }
 
     /**
-     * Reads a time in milliseconds, at most a day.
+     * Reads a duration in milliseconds, at most one day.
      *
      * @param section the section
      * @param key the key
-     * @param fallback the text if the key is missing, null if it must not be
-     * @return the time
+     * @param fallback the text to use if the key is missing; null if the key is required
+     * @return the duration; 1 ms if it is wrong or missing
      */
     public Duration millis(final String section, final String key, final String fallback) {
         return Duration.ofMillis((long) number(section, key, fallback, 1, MAX_MILLIS));
     }
 
     /**
-     * Reads a TCP port; 0 takes any free one.
+     * Reads a TCP port; 0 selects a free port.
      *
      * @param section the section
      * @param key the key
-     * @param fallback the text if the key is missing, null if it must not be
-     * @return the port
+     * @param fallback the text to use if the key is missing; null if the key is required
+     * @return the port; 0 if it is wrong or missing
      */
     public int port(final String section, final String key, final String fallback) {
         return (int) number(section, key, fallback, 0, MAX_PORT);
     }
 
     /**
-     * Reads one of several words.
+     * Reads one of several allowed values.
      *
      * @param section the section
      * @param key the key
-     * @param fallback the text if the key is missing, null if it must not be
-     * @param allowed the words
-     * @return the word, any of them if it is wrong
+     * @param fallback the text to use if the key is missing; null if the key is required
+     * @param allowed the allowed values
+     * @return the value; the first allowed in natural order if it is wrong or missing
      */
     public String oneOf(
             final String section,
@@ -200,10 +200,10 @@
      * @param <T> the type of a value
      * @param section the section
      * @param key the key
-     * @param fallback the text if the key is missing, null if it must not be
-     * @param allowed says what a value may be
-     * @param parse reads one value
-     * @return the values, empty if one is wrong
+     * @param fallback the text to use if the key is missing; null if the key is required
+     * @param allowed a description of the allowed values, for messages
+     * @param parse parses one value; throws {@link IllegalArgumentException} if it is not allowed
+     * @return the values; empty if one is wrong or the key is missing
      */
     public <T> List<T> list(
             final String section,
@@ -226,23 +226,23 @@
     }
 
     /**
-     * Notes a mistake that concerns a whole section.
+     * Adds a mistake about a whole section.
      *
      * @param section the section
-     * @param detail what is wrong
+     * @param detail a description of the mistake
      */
     public void mistake(final String section, final String detail) {
         mistakes.add(name + " [" + section + "]: " + detail);
     }
 
     /**
-     * Adds what was never asked for to the mistakes, and throws them if there are any.
+     * Adds unknown sections and keys to the mistakes, and throws the mistakes if there are any.
      *
      * @throws IniException if there are mistakes
      */
     public void finish() throws IniException {
         for (final String section : sections()) {
-            if (knownSections.contains(section)) {
+            if (readSections.contains(section)) {
                 ini.getSection(section).getKeys().forEachRemaining(k -> checkKnown(section, k));
             } else {
                 mistakes.add(
@@ -250,7 +250,7 @@
                                 + " ["
                                 + section
                                 + "]: unknown section; the nearest known is ["
-                                + nearest(section, knownSections)
+                                + nearest(section, readSections)
                                 + "]");
             }
         }
@@ -260,7 +260,7 @@
     }
 
     /**
-     * Reads an address.
+     * Parses an address.
      *
      * @param text {@code IP:PORT}
      * @return the address
@@ -271,16 +271,16 @@
         if (colon < 0) {
             throw new IllegalArgumentException("no port");
         }
-        final int port = (int) inRange(text.substring(colon + 1), 1, MAX_PORT);
+        final int port = (int) parseInRange(text.substring(colon + 1), 1, MAX_PORT);
         return new InetSocketAddress(ip(text.substring(0, colon)), port);
     }
 
     /**
-     * Reads an IP address.
+     * Validates an IP address.
      *
      * @param text the address
      * @return the text
-     * @throws IllegalArgumentException if it is none
+     * @throws IllegalArgumentException if the text is not an IP address
      */
     public static String ip(final String text) {
         if (!NetUtil.isValidIpV4Address(text) && !NetUtil.isValidIpV6Address(text)) {
@@ -291,22 +291,22 @@
 
     private void checkKnown(final String section, final String key) {
         final String full = section + "." + key;
-        if (known.contains(full)) {
+        if (readKeys.contains(full)) {
             return;
         }
         final Set<String> inSection =
-                known.stream()
+                readKeys.stream()
                         .filter(k -> k.startsWith(section + "."))
                         .map(k -> k.substring(section.length() + 1))
                         .collect(Collectors.toSet());
         mistakes.add(
-                where(section, key)
+                location(section, key)
                         + ": unknown key; the nearest known is '"
                         + nearest(key, inSection)
                         + "'");
     }
 
-    private String where(final String section, final String key) {
+    private String location(final String section, final String key) {
         return name + " [" + section + "] " + key;
     }
 
@@ -319,15 +319,15 @@
                 .orElse("");
     }
 
-    private static double inRange(final String text, final double least, final double most) {
+    private static double parseInRange(final String text, final double min, final double max) {
         final double number = Double.parseDouble(text);
-        if (!(number >= least && number <= most)) {
+        if (!(number >= min && number <= max)) {
             throw new IllegalArgumentException("out of range");
         }
         return number;
     }
 
-    private static String plain(final double number) {
+    private static String format(final double number) {
         return number == Math.rint(number) ? Long.toString((long) number) : Double.toString(number);
     }
 }
--- a/fennelstage-objects/src/main/java/org/fennelstage/ini/package-info.java
+++ b/fennelstage-objects/src/main/java/org/fennelstage/ini/package-info.java
@@ -1,2 +1,2 @@
-/** INI files read as a whole: every mistake is collected before the reader gives up. */
+/** A reader of INI files that reports all mistakes in a file together. */
 package org.fennelstage.ini;
--- a/fennelstage-objects/src/main/java/org/fennelstage/objects/Backoff.java
+++ b/fennelstage-objects/src/main/java/org/fennelstage/objects/Backoff.java
@@ -4,8 +4,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Waiting times between attempts: doubled each time up to a bound, and drawn from the whole range
- * so that VMs which failed together do not come back together.
+ * Exponential backoff with full jitter: the bound doubles with each failure up to a maximum, and
+ * each wait is drawn from the whole range, so that VMs which failed together do not retry together.
  *
  * <p>Not thread-safe.
  */
@@ -14,42 +14,43 @@
     private static final int MAX_DOUBLINGS = 16;
 
     private final RandomGenerator random;
-    private final Duration first;
-    private final Duration longest;
+    private final Duration initialBound;
+    private final Duration maxBound;
     private int failures;
 
-    private Backoff(final RandomGenerator random, final Duration first, final Duration longest) {
+    private Backoff(
+            final RandomGenerator random, final Duration initialBound, final Duration maxBound) {
         this.random = random;
-        this.first = first;
-        this.longest = longest;
+        this.initialBound = initialBound;
+        this.maxBound = maxBound;
     }
 
     /**
-     * Returns a back-off before its first failure.
+     * Returns a backoff without failures.
      *
      * @param random the source of jitter
-     * @param first the bound of the first wait
-     * @param longest the bound of every wait
-     * @return the back-off
+     * @param initialBound the bound of the first wait
+     * @param maxBound the bound of every wait
+     * @return the backoff
      */
     public static Backoff of(
-            final RandomGenerator random, final Duration first, final Duration longest) {
-        return new Backoff(random, first, longest);
+            final RandomGenerator random, final Duration initialBound, final Duration maxBound) {
+        return new Backoff(random, initialBound, maxBound);
     }
 
     /**
-     * Notes a failure and returns how long to wait before the next attempt.
+     * Records a failure and returns how long to wait before the next attempt.
      *
      * @return the wait, in (0, bound]
      */
     public Duration nextWait() {
-        final long doubled = first.toMillis() << Math.min(failures, MAX_DOUBLINGS);
+        final long doubled = initialBound.toMillis() << Math.min(failures, MAX_DOUBLINGS);
         failures++;
-        final long bound = Math.max(1, Math.min(doubled, longest.toMillis()));
+        final long bound = Math.max(1, Math.min(doubled, maxBound.toMillis()));
         return Duration.ofMillis(1 + random.nextLong(bound));
     }
 
-    /** Notes a success: the next failure waits shortly again. */
+    /** Records a success: the bound starts at its initial value again. */
     public void reset() {
         failures = 0;
     }
--- a/fennelstage-objects/src/main/java/org/fennelstage/objects/CallBudget.java
+++ b/fennelstage-objects/src/main/java/org/fennelstage/objects/CallBudget.java
@@ -4,27 +4,27 @@
 import java.util.Objects;
 
 /**
- * Bounds how many calls one VM makes to the object API, so that a fleet of them stays within what
- * the platform serves, above all when all VMs come back at once after an outage.
+ * A token bucket that limits the calls of one VM to the object API, so that a fleet does not
+ * overload it, in particular when all VMs reconnect after an outage.
  *
- * <p>Invariant: over any time t at most {@code burst + rate * t} calls are admitted; the lower
- * priorities leave a part of the burst untouched for the higher ones. Thread-safe.
+ * <p>Invariant: in any period of t seconds at most {@code burst + callsPerSecond * t} calls are
+ * admitted; a fraction of the burst is reserved for the higher priorities. Thread-safe.
  */
 public final class CallBudget {
 
-    private static final double NORMAL_RESERVE = 0.25;
-    private static final double BACKGROUND_RESERVE = 0.6;
+    private static final double RESERVED_FROM_NORMAL = 0.25;
+    private static final double RESERVED_FROM_BACKGROUND = 0.6;
     private static final double MILLIS_PER_SECOND = 1000;
 
     private final InstantSource clock;
-    private final double ratePerSecond;
+    private final double callsPerSecond;
     private final double burst;
     private double available;
     private long lastMillis;
 
-    private CallBudget(final InstantSource clock, final double ratePerSecond, final double burst) {
+    private CallBudget(final InstantSource clock, final double callsPerSecond, final double burst) {
         this.clock = Objects.requireNonNull(clock, "clock is null");
-        this.ratePerSecond = ratePerSecond;
+        this.callsPerSecond = callsPerSecond;
         this.burst = burst;
         this.available = burst;
         this.lastMillis = clock.millis();
@@ -34,24 +34,24 @@
      * Returns a full budget.
      *
      * @param clock the clock
-     * @param ratePerSecond calls per second in the long run
-     * @param burst calls at once
+     * @param callsPerSecond the sustained rate; calls per second
+     * @param burst the maximum number of calls at once
      * @return the budget
      */
     public static CallBudget of(
-            final InstantSource clock, final double ratePerSecond, final double burst) {
-        return new CallBudget(clock, ratePerSecond, burst);
+            final InstantSource clock, final double callsPerSecond, final double burst) {
+        return new CallBudget(clock, callsPerSecond, burst);
     }
 
     /**
-     * Takes one call out of the budget if its priority allows.
+     * Takes one call from the budget if its priority allows.
      *
      * @param priority the call's priority
      * @return true if the call may be made
      */
     public synchronized boolean tryTake(final CallPriority priority) {
         refill();
-        if (available - 1 < burst * reserve(priority)) {
+        if (available - 1 < burst * reservedFraction(priority)) {
             return false;
         }
         available -= 1;
@@ -61,15 +61,15 @@
     private void refill() {
         final long now = clock.millis();
         final double elapsed = Math.max(0, now - lastMillis) / MILLIS_PER_SECOND;
-        available = Math.min(burst, available + elapsed * ratePerSecond);
+        available = Math.min(burst, available + elapsed * callsPerSecond);
         lastMillis = now;
     }
 
-    private static double reserve(final CallPriority priority) {
+    private static double reservedFraction(final CallPriority priority) {
         return switch (priority) {
             case URGENT -> 0;
-            case NORMAL -> NORMAL_RESERVE;
-            case BACKGROUND -> BACKGROUND_RESERVE;
+            case NORMAL -> RESERVED_FROM_NORMAL;
+            case BACKGROUND -> RESERVED_FROM_BACKGROUND;
         };
     }
 }
--- a/fennelstage-objects/src/main/java/org/fennelstage/objects/CallPriority.java
+++ b/fennelstage-objects/src/main/java/org/fennelstage/objects/CallPriority.java
@@ -1,11 +1,13 @@
 package org.fennelstage.objects;
 
-/** How much a call to the object API matters when calls are scarce; the first matters most. */
+/**
+ * The priority of a call to the object API; the first is the highest. Immutable and thread-safe.
+ */
 public enum CallPriority {
-    /** Withdrawals, claims: waiting costs a promise. */
+    /** Calls that a request or an operator waits for, such as claims. */
     URGENT,
-    /** Bills, configuration, shares of exposure: may wait for a second. */
+    /** Calls that may be delayed by a second, such as bills and configuration. */
     NORMAL,
-    /** Status and reports: may be left out. */
+    /** Calls that may be skipped, such as status reports. */
     BACKGROUND
 }
--- a/fennelstage-objects/src/main/java/org/fennelstage/objects/ChangesResult.java
+++ b/fennelstage-objects/src/main/java/org/fennelstage/objects/ChangesResult.java
@@ -4,13 +4,13 @@
 import org.fennelstage.configuration.Revision;
 import org.fennelstage.configuration.StoredObject;
 
-/** The end of a list or watch. Immutable and thread-safe. */
+/** The result of a list or watch. Immutable and thread-safe. */
 public sealed interface ChangesResult {
 
     /**
-     * What changed.
+     * The changed objects.
      *
-     * @param objects the present state of each changed object
+     * @param objects the current state of each changed object
      * @param upTo the revision to continue from
      */
     record Changed(List<StoredObject> objects, Revision upTo) implements ChangesResult {
@@ -20,9 +20,9 @@
     }
 
     /**
-     * The changes could not be had.
+     * The changes could not be read.
      *
-     * @param detail text for a person
+     * @param detail a description for logs and error messages
      */
     record Unavailable(String detail) implements ChangesResult {}
 }
--- a/fennelstage-objects/src/main/java/org/fennelstage/objects/DeclarationKind.java
+++ b/fennelstage-objects/src/main/java/org/fennelstage/objects/DeclarationKind.java
@@ -10,7 +10,7 @@
 import org.fennelstage.session.KeyRing;
 import org.fennelstage.team.Team;
 
-/** The kinds of declaration that operators write. Immutable and thread-safe. */
+/** The kinds of declarations that operators write. Immutable and thread-safe. */
 public enum DeclarationKind {
     PROFILE("profiles", Profile.class),
     VERSION("versions", ModelVersion.class),
@@ -30,10 +30,10 @@
     }
 
     /**
-     * Returns the kind of object that a key holds.
+     * Returns the kind of the declaration under a key.
      *
      * @param key the key
-     * @return the kind, empty for a key of no declaration
+     * @return the kind; empty if the key is not that of a declaration
      */
     public static Optional<DeclarationKind> of(final ObjectKey key) {
         final String[] segments = key.path().split("/");
--- a/fennelstage-objects/src/main/java/org/fennelstage/objects/Declarations.java
+++ b/fennelstage-objects/src/main/java/org/fennelstage/objects/Declarations.java
@@ -18,8 +18,8 @@
 import org.fennelstage.team.Team;
 
 /**
- * The form of declarations in the object API: a change id, by which a writer that lost the answer
- * recognises its own write, and the declaration. Stateless and thread-safe.
+ * The encoding of declarations in the object API: the declaration and a change id, by which a
+ * writer that got no response recognises its own write. Stateless and thread-safe.
  */
 public final class Declarations {
 
@@ -29,15 +29,15 @@
     private Declarations() {}
 
     /**
-     * A configuration and the objects that could not be understood.
+     * A configuration and the malformed objects that were skipped.
      *
-     * @param configuration what was understood
-     * @param malformed one line for each object left out
+     * @param configuration the configuration without malformed objects
+     * @param malformed one line for each malformed object
      */
     public record Decoded(Configuration configuration, List<String> malformed) {}
 
     /**
-     * Writes a declaration.
+     * Encodes a declaration.
      *
      * @param changeId identifies the change
      * @param declaration the declaration
@@ -54,7 +54,7 @@
      * Returns the change id of a stored declaration.
      *
      * @param object the object
-     * @return the id, empty for a tombstone or malformed value
+     * @return the id; empty for a tombstone or malformed JSON
      */
     public static Optional<String> changeId(final StoredObject object) {
         return object.value()
@@ -70,10 +70,10 @@
     }
 
     /**
-     * Reads one declaration.
+     * Decodes a declaration.
      *
      * @param object the stored object
-     * @return the declaration, empty for a tombstone or an unknown kind
+     * @return the declaration; empty for a tombstone or an unknown kind
      * @throws MalformedValueException if the value is not a declaration of its kind
      */
     public static Optional<Object> decode(final StoredObject object)
@@ -93,11 +93,11 @@
     }
 
     /**
-     * Builds the configuration that a table holds. A malformed object is left out, since one bad
-     * object must not keep a VM from serving the rest.
+     * Decodes the configuration in a table. Malformed objects are skipped, so that one of them does
+     * not prevent a VM from using the rest.
      *
      * @param table the table
-     * @return the configuration
+     * @return the configuration and the skipped objects
      */
     public static Decoded decodeAll(final ConfigurationTable table) {
         final Digest digest = table.digest();
--- a/fennelstage-objects/src/main/java/org/fennelstage/objects/Json.java
+++ b/fennelstage-objects/src/main/java/org/fennelstage/objects/Json.java
@@ -30,12 +30,12 @@
 import org.fennelstage.id.VmId;
 import org.fennelstage.rollout.Evidence;
 
-/** JSON form of the core types: ids are plain strings. Stateless and thread-safe. */
+/** JSON encoding of the core types; ids are encoded as strings. Stateless and thread-safe. */
 public final class Json {
 
     private static final ObjectMapper MAPPER =
             new ObjectMapper()
-                    .registerModule(ids())
+                    .registerModule(idModule())
                     .registerModule(new Jdk8Module())
                     .registerModule(new JavaTimeModule())
                     .configure(SerializationFeature.WRITE_DURATIONS_AS_TIMESTAMPS, false)
@@ -46,34 +46,36 @@
     /**
      * Returns the shared mapper.
      *
-     * @return the mapper; it must not be configured further
+     * @return the mapper; must not be configured further
      */
     public static ObjectMapper mapper() {
         return MAPPER;
     }
 
     /**
-     * Writes a value of a core type.
+     * Encodes a value of a core type.
      *
      * @param value the value
      * @return its JSON in UTF-8
+     * @throws IllegalStateException if the value's type cannot be encoded
      */
     public static byte[] write(final Object value) {
         try {
             return MAPPER.writeValueAsBytes(value);
         } catch (final JsonProcessingException e) {
-            throw new IllegalStateException("core types have a JSON form", e);
+            throw new IllegalStateException(
+                    "cannot encode " + value.getClass().getName() + " as JSON", e);
         }
     }
 
     /**
-     * Reads a value.
+     * Decodes a value.
      *
-     * @param <T> its type
+     * @param <T> the type of the value
      * @param bytes JSON in UTF-8
-     * @param type its type
+     * @param type the class of the value
      * @return the value
-     * @throws MalformedValueException if the bytes are not such a value
+     * @throws MalformedValueException if the bytes do not encode a value of this type
      */
     public static <T> T read(final byte[] bytes, final Class<T> type)
             throws MalformedValueException {
@@ -84,7 +86,7 @@
         }
     }
 
-    private static SimpleModule ids() {
+    private static SimpleModule idModule() {
         final SimpleModule module = new SimpleModule("fennelstage-ids");
         add(module, RequestId.class, RequestId::of);
         add(module, TeamId.class, TeamId::of);
@@ -96,14 +98,14 @@
         add(module, BackendServerId.class, BackendServerId::of);
         add(module, ServiceName.class, ServiceName::of);
         add(module, RolloutId.class, RolloutId::of);
-        module.setMixInAnnotation(Evidence.class, EvidenceForm.class);
+        module.setMixInAnnotation(Evidence.class, EvidenceMixIn.class);
         return module;
     }
 
     private static <T> void add(
             final SimpleModule module, final Class<T> type, final Function<String, T> parse) {
-        module.addSerializer(type, new ToText<>(type));
-        module.addDeserializer(type, new FromText<>(type, parse));
+        module.addSerializer(type, new TextSerializer<>(type));
+        module.addDeserializer(type, new TextDeserializer<>(type, parse));
         module.addKeyDeserializer(
                 type,
                 new KeyDeserializer() {
@@ -115,8 +117,8 @@
                 });
     }
 
-    /** The JSON form of {@link Evidence}, whose totals are not plain accessors. */
-    private abstract static class EvidenceForm {
+    /** JSON properties of {@link Evidence}, which has no accessors of these names. */
+    private abstract static class EvidenceMixIn {
 
         @JsonProperty("exposed")
         abstract long exposed();
@@ -136,10 +138,10 @@
         }
     }
 
-    private static final class ToText<T> extends StdScalarSerializer<T> {
+    private static final class TextSerializer<T> extends StdScalarSerializer<T> {
         private static final long serialVersionUID = 1L;
 
-        ToText(final Class<T> type) {
+        TextSerializer(final Class<T> type) {
             super(type);
         }
 
@@ -151,11 +153,11 @@
         }
     }
 
-    private static final class FromText<T> extends StdScalarDeserializer<T> {
+    private static final class TextDeserializer<T> extends StdScalarDeserializer<T> {
         private static final long serialVersionUID = 1L;
         private final transient Function<String, T> parse;
 
-        FromText(final Class<T> type, final Function<String, T> parse) {
+        TextDeserializer(final Class<T> type, final Function<String, T> parse) {
             super(type);
             this.parse = parse;
         }
--- a/fennelstage-objects/src/main/java/org/fennelstage/objects/Keys.java
+++ b/fennelstage-objects/src/main/java/org/fennelstage/objects/Keys.java
@@ -5,22 +5,22 @@
 import org.fennelstage.id.RolloutId;
 import org.fennelstage.id.VmId;
 
-/** Where each kind of object lives in the object API. Stateless and thread-safe. */
+/** The keys of objects in the object API. Stateless and thread-safe. */
 public final class Keys {
 
-    /** All declarations; the prefix that is watched. */
+    /** The prefix of declarations, which VMs watch. */
     public static final String CONFIGURATION = "config/";
 
-    /** All bills. */
+    /** The prefix of bills. */
     public static final String BILLS = "bills/";
 
-    /** All claims. */
+    /** The prefix of claims. */
     public static final String CLAIMS = "claims/";
 
-    /** What VMs report. */
+    /** The prefix of status reports. */
     public static final String STATUS = "status/";
 
-    /** Progress of roll-outs. */
+    /** The prefix of the progress of rollouts. */
     public static final String ROLLOUTS = "rollouts/";
 
     private static final String NUMBER_FORMAT = "%08d";
@@ -63,7 +63,7 @@
      * Returns the key of a segment of bills.
      *
      * @param dataCentre the data centre
-     * @param writer the VM that alone writes it
+     * @param writer the only VM that writes it
      * @param incarnation the writer's incarnation
      * @param segment the segment's number
      * @return the key
@@ -85,9 +85,9 @@
     }
 
     /**
-     * Returns the key of a roll-out's progress.
+     * Returns the key of a rollout's progress.
      *
-     * @param id the roll-out
+     * @param id the rollout
      * @return the key
      */
     public static ObjectKey rollout(final RolloutId id) {
--- a/fennelstage-objects/src/main/java/org/fennelstage/objects/MalformedValueException.java
+++ b/fennelstage-objects/src/main/java/org/fennelstage/objects/MalformedValueException.java
@@ -1,6 +1,6 @@
 package org.fennelstage.objects;
 
-/** Bytes from the object API or a peer that are not the value they should be. */
+/** Thrown if bytes from the object API or a peer do not encode a value of the expected type. */
 public final class MalformedValueException extends Exception {
 
     private static final long serialVersionUID = 1L;
--- a/fennelstage-objects/src/main/java/org/fennelstage/objects/MemoryObjectStore.java
+++ b/fennelstage-objects/src/main/java/org/fennelstage/objects/MemoryObjectStore.java
@@ -15,15 +15,15 @@
 import org.fennelstage.configuration.StoredObject;
 
 /**
- * An object API in this process's memory, for trials and as the store behind the stand-in.
+ * An object store in memory, for tests and the object API stand-in.
  *
- * <p>Thread-safe; one monitor guards all state, and futures are completed outside of it.
+ * <p>Thread-safe; one lock guards all state, and futures are completed outside of it.
  */
 public final class MemoryObjectStore implements ObjectStore, AutoCloseable {
 
     private final NavigableMap<ObjectKey, StoredObject> objects = new TreeMap<>();
     private final List<Watch> watches = new ArrayList<>();
-    private final ScheduledExecutorService timer =
+    private final ScheduledExecutorService scheduler =
             Executors.newSingleThreadScheduledExecutor(
                     r -> {
                         final Thread thread = new Thread(r, "memory-object-store");
@@ -34,10 +34,11 @@
 
     private MemoryObjectStore() {}
 
-    private record Watch(String prefix, Revision since, CompletableFuture<ChangesResult> answer) {}
+    private record Watch(
+            String prefix, Revision since, CompletableFuture<ChangesResult> response) {}
 
     /**
-     * Returns a store without objects.
+     * Returns an empty store.
      *
      * @return the store
      */
@@ -71,20 +72,21 @@
             final Revision since,
             final Duration wait,
             final CallPriority priority) {
-        final CompletableFuture<ChangesResult> answer = new CompletableFuture<>();
+        final CompletableFuture<ChangesResult> response = new CompletableFuture<>();
         synchronized (this) {
             final ChangesResult.Changed changed = changed(prefix, since);
             if (!changed.objects().isEmpty() || wait.isZero()) {
                 return CompletableFuture.completedFuture(changed);
             }
-            watches.add(new Watch(prefix, since, answer));
+            watches.add(new Watch(prefix, since, response));
         }
-        timer.schedule(() -> expire(prefix, since, answer), wait.toMillis(), TimeUnit.MILLISECONDS);
-        return answer;
+        scheduler.schedule(
+                () -> expire(prefix, since, response), wait.toMillis(), TimeUnit.MILLISECONDS);
+        return response;
     }
 
     /**
-     * Returns an object as it stands.
+     * Returns the current state of an object.
      *
      * @param key the key
      * @return the object; a tombstone with revision 0 if it never existed
@@ -96,49 +98,49 @@
 
     @Override
     public void close() {
-        timer.shutdownNow();
+        scheduler.shutdownNow();
     }
 
     private WriteResult put(
             final ObjectKey key, final Revision expected, final Optional<byte[]> value) {
-        final List<Runnable> wake = new ArrayList<>();
+        final List<Runnable> completions = new ArrayList<>();
         final WriteResult result;
         synchronized (this) {
-            final StoredObject held = current(key);
-            final Revision actual = held.value().isPresent() ? held.revision() : Revision.NONE;
+            final StoredObject stored = current(key);
+            final Revision actual = stored.value().isPresent() ? stored.revision() : Revision.NONE;
             if (!actual.equals(expected)) {
-                return new WriteResult.Conflict(held);
+                return new WriteResult.Conflict(stored);
             }
             lastRevision++;
             final Revision revision = Revision.of(lastRevision);
             objects.put(key, new StoredObject(key, revision, value));
             result = new WriteResult.Written(revision);
-            watches.removeIf(w -> collectAnswer(w, key, wake));
+            watches.removeIf(w -> completeWatch(w, key, completions));
         }
-        wake.forEach(Runnable::run);
+        completions.forEach(Runnable::run);
         return result;
     }
 
-    private boolean collectAnswer(
-            final Watch watch, final ObjectKey key, final List<Runnable> wake) {
+    private boolean completeWatch(
+            final Watch watch, final ObjectKey key, final List<Runnable> completions) {
         if (!key.path().startsWith(watch.prefix())) {
             return false;
         }
         final ChangesResult.Changed changed = changed(watch.prefix(), watch.since());
-        wake.add(() -> watch.answer().complete(changed));
+        completions.add(() -> watch.response().complete(changed));
         return true;
     }
 
     private void expire(
             final String prefix,
             final Revision since,
-            final CompletableFuture<ChangesResult> answer) {
+            final CompletableFuture<ChangesResult> response) {
         final ChangesResult.Changed changed;
         synchronized (this) {
-            watches.removeIf(w -> w.answer() == answer);
+            watches.removeIf(w -> w.response() == response);
             changed = changed(prefix, since);
         }
-        answer.complete(changed);
+        response.complete(changed);
     }
 
     private ChangesResult.Changed changed(final String prefix, final Revision since) {
--- a/fennelstage-objects/src/main/java/org/fennelstage/objects/ObjectApiClient.java
+++ b/fennelstage-objects/src/main/java/org/fennelstage/objects/ObjectApiClient.java
@@ -22,10 +22,10 @@
 import org.fennelstage.http.Responses;
 
 /**
- * The object API over HTTP.
+ * A client of the object API over HTTP.
  *
- * <p>Invariant: a write is reported as not written only if it never left this process, or the API
- * said so; everything else is unknown. Thread-safe.
+ * <p>Invariant: a write is reported as not written only if it was not sent, or the API rejected it;
+ * any other failure is reported as unknown. Thread-safe.
  */
 public final class ObjectApiClient implements ObjectStore {
 
@@ -34,7 +34,8 @@
     private static final int NOT_FOUND = 404;
     private static final int CONFLICT = 412;
     private static final int OVERLOADED = 429;
-    private static final String OUT_OF_BUDGET = "this VM's calls to the object API are used up";
+    private static final String BUDGET_EXHAUSTED =
+            "the call budget of this VM for the object API is exhausted";
 
     private final HttpClient http;
     private final InetSocketAddress address;
@@ -45,9 +46,9 @@
      * Creates a client.
      *
      * @param http makes the calls
-     * @param address where the API listens
-     * @param budget bounds the calls
-     * @param timeout the longest wait for an answer
+     * @param address the address of the API
+     * @param budget limits the calls
+     * @param timeout the longest wait for a response
      */
     public ObjectApiClient(
             final HttpClient http,
@@ -64,13 +65,13 @@
     public CompletableFuture<ReadResult> read(final ObjectKey key, final CallPriority priority) {
         final CompletableFuture<ReadResult> result = new CompletableFuture<>();
         if (!budget.tryTake(priority)) {
-            result.complete(new ReadResult.Unavailable(OUT_OF_BUDGET));
+            result.complete(new ReadResult.Unavailable(BUDGET_EXHAUSTED));
             return result;
         }
         call(
                 request(HttpMethod.GET, key, new byte[0]),
                 timeout,
-                whole -> result.complete(toRead(key, whole)),
+                response -> result.complete(toRead(key, response)),
                 failure -> result.complete(new ReadResult.Unavailable(failure.detail())));
         return result;
     }
@@ -98,7 +99,7 @@
             final CallPriority priority) {
         final CompletableFuture<ChangesResult> result = new CompletableFuture<>();
         if (!budget.tryTake(priority)) {
-            result.complete(new ChangesResult.Unavailable(OUT_OF_BUDGET));
+            result.complete(new ChangesResult.Unavailable(BUDGET_EXHAUSTED));
             return result;
         }
         final QueryStringEncoder query = new QueryStringEncoder(ObjectApiProtocol.CHANGES);
@@ -108,7 +109,7 @@
         call(
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, query.toString()),
                 wait.plus(timeout),
-                whole -> result.complete(toChanges(whole)),
+                response -> result.complete(toChanges(response)),
                 failure -> result.complete(new ChangesResult.Unavailable(failure.detail())));
         return result;
     }
@@ -121,7 +122,7 @@
             final CallPriority priority) {
         final CompletableFuture<WriteResult> result = new CompletableFuture<>();
         if (!budget.tryTake(priority)) {
-            result.complete(new WriteResult.NotWritten(OUT_OF_BUDGET));
+            result.complete(new WriteResult.NotWritten(BUDGET_EXHAUSTED));
             return result;
         }
         final FullHttpRequest request = request(method, key, value);
@@ -129,15 +130,15 @@
         call(
                 request,
                 timeout,
-                whole -> result.complete(toWrite(key, whole)),
+                response -> result.complete(toWrite(key, response)),
                 failure -> result.complete(toWrite(failure)));
         return result;
     }
 
     private void call(
             final FullHttpRequest request,
-            final Duration silence,
-            final Consumer<Responses.Whole> onWhole,
+            final Duration inactivityTimeout,
+            final Consumer<Responses.Whole> onResponse,
             final Consumer<CallFailure> onFailure) {
         http.eventLoop()
                 .execute(
@@ -145,8 +146,8 @@
                                 http.send(
                                         address,
                                         request,
-                                        CallOptions.of(CONNECT_TIMEOUT, silence, false),
-                                        Responses.collecting(onWhole, onFailure)));
+                                        CallOptions.of(CONNECT_TIMEOUT, inactivityTimeout, false),
+                                        Responses.collecting(onResponse, onFailure)));
     }
 
     private static FullHttpRequest request(
@@ -158,20 +159,21 @@
                 Unpooled.wrappedBuffer(value));
     }
 
-    private static ReadResult toRead(final ObjectKey key, final Responses.Whole whole) {
-        return switch (whole.status()) {
-            case OK -> new ReadResult.Found(toObject(key, whole));
-            case NOT_FOUND -> new ReadResult.Found(StoredObject.tombstone(key, revision(whole)));
-            default -> new ReadResult.Unavailable("object API answered " + whole.status());
+    private static ReadResult toRead(final ObjectKey key, final Responses.Whole response) {
+        return switch (response.status()) {
+            case OK -> new ReadResult.Found(toObject(key, response));
+            case NOT_FOUND -> new ReadResult.Found(StoredObject.tombstone(key, revision(response)));
+            default ->
+                    new ReadResult.Unavailable("object API returned status " + response.status());
         };
     }
 
-    private static WriteResult toWrite(final ObjectKey key, final Responses.Whole whole) {
-        return switch (whole.status()) {
-            case OK -> new WriteResult.Written(revision(whole));
-            case CONFLICT -> new WriteResult.Conflict(toObject(key, whole));
+    private static WriteResult toWrite(final ObjectKey key, final Responses.Whole response) {
+        return switch (response.status()) {
+            case OK -> new WriteResult.Written(revision(response));
+            case CONFLICT -> new WriteResult.Conflict(toObject(key, response));
             case OVERLOADED -> new WriteResult.NotWritten("object API is overloaded");
-            default -> new WriteResult.Unknown("object API answered " + whole.status());
+            default -> new WriteResult.Unknown("object API returned status " + response.status());
         };
     }
 
@@ -181,13 +183,13 @@
                 : new WriteResult.Unknown(failure.detail());
     }
 
-    private static ChangesResult toChanges(final Responses.Whole whole) {
-        if (whole.status() != OK) {
-            return new ChangesResult.Unavailable("object API answered " + whole.status());
+    private static ChangesResult toChanges(final Responses.Whole response) {
+        if (response.status() != OK) {
+            return new ChangesResult.Unavailable("object API returned status " + response.status());
         }
         try {
             final ObjectApiProtocol.WireChanges changes =
-                    Json.read(whole.body(), ObjectApiProtocol.WireChanges.class);
+                    Json.read(response.body(), ObjectApiProtocol.WireChanges.class);
             final List<StoredObject> objects =
                     changes.objects().stream().map(ObjectApiClient::toObject).toList();
             return new ChangesResult.Changed(objects, Revision.of(changes.revision()));
@@ -203,16 +205,16 @@
                 Optional.ofNullable(wire.value()));
     }
 
-    private static StoredObject toObject(final ObjectKey key, final Responses.Whole whole) {
-        final Revision revision = revision(whole);
-        final boolean deleted = whole.headers().contains("x-deleted");
+    private static StoredObject toObject(final ObjectKey key, final Responses.Whole response) {
+        final Revision revision = revision(response);
+        final boolean deleted = response.headers().contains("x-deleted");
         return deleted
                 ? StoredObject.tombstone(key, revision)
-                : StoredObject.of(key, revision, whole.body());
+                : StoredObject.of(key, revision, response.body());
     }
 
-    private static Revision revision(final Responses.Whole whole) {
-        final String text = whole.headers().get(ObjectApiProtocol.REVISION, "0");
+    private static Revision revision(final Responses.Whole response) {
+        final String text = response.headers().get(ObjectApiProtocol.REVISION, "0");
         return Revision.of(Long.parseLong(text));
     }
 }
--- a/fennelstage-objects/src/main/java/org/fennelstage/objects/ObjectApiProtocol.java
+++ b/fennelstage-objects/src/main/java/org/fennelstage/objects/ObjectApiProtocol.java
@@ -1,24 +1,24 @@
 package org.fennelstage.objects;
 
-/** Names in the HTTP form of the object API, shared by the client and the stand-in. */
+/** Paths, headers and bodies of the object API over HTTP. Stateless and thread-safe. */
 public final class ObjectApiProtocol {
 
-    /** Path prefix of single objects. */
+    /** The path prefix of single objects. */
     public static final String OBJECTS = "/v1/objects/";
 
-    /** Path of lists and watches. */
+    /** The path of lists and watches. */
     public static final String CHANGES = "/v1/changes";
 
-    /** Request header with the expected revision; 0 means that the object must not exist. */
+    /** The request header with the expected revision; 0 if the object must not exist. */
     public static final String EXPECTED = "if-match";
 
-    /** Response header with the object's revision. */
+    /** The response header with the object's revision. */
     public static final String REVISION = "x-revision";
 
     private ObjectApiProtocol() {}
 
     /**
-     * One object in the answer to a list or watch.
+     * One object in the response to a list or watch.
      *
      * @param key the key
      * @param revision the revision
@@ -27,7 +27,7 @@
     public record WireObject(String key, long revision, byte[] value) {}
 
     /**
-     * The answer to a list or watch.
+     * The response to a list or watch.
      *
      * @param revision the revision to continue from
      * @param objects the objects
--- a/fennelstage-objects/src/main/java/org/fennelstage/objects/ObjectStore.java
+++ b/fennelstage-objects/src/main/java/org/fennelstage/objects/ObjectStore.java
@@ -6,10 +6,10 @@
 import org.fennelstage.configuration.Revision;
 
 /**
- * The platform's object API: versioned objects, conditional updates and watches.
+ * The object API: versioned objects with conditional writes and watches.
  *
- * <p>Laws: a write takes effect only if the key's revision is the expected one; writes have one
- * order; reads may be stale. Every future completes normally: failures are part of the results.
+ * <p>Invariant: a write takes effect only if the key's revision is the expected one; writes are
+ * totally ordered; reads may be stale. Futures never complete exceptionally: failures are results.
  * Thread-safe.
  */
 public interface ObjectStore {
@@ -18,7 +18,7 @@
      * Reads one object.
      *
      * @param key the key
-     * @param priority how much the call matters when calls are scarce
+     * @param priority the priority of the call when the call budget is low
      * @return the object, or why it could not be read
      */
     CompletableFuture<ReadResult> read(ObjectKey key, CallPriority priority);
@@ -29,8 +29,8 @@
      * @param key the key
      * @param expected the revision it must have; {@link Revision#NONE} if it must not exist
      * @param value the bytes
-     * @param priority how much the call matters when calls are scarce
-     * @return whether the write took effect, as far as can be told
+     * @param priority the priority of the call when the call budget is low
+     * @return whether the write took effect, as far as it is known
      */
     CompletableFuture<WriteResult> write(
             ObjectKey key, Revision expected, byte[] value, CallPriority priority);
@@ -40,21 +40,21 @@
      *
      * @param key the key
      * @param expected the revision it must have
-     * @param priority how much the call matters when calls are scarce
-     * @return whether the deletion took effect, as far as can be told
+     * @param priority the priority of the call when the call budget is low
+     * @return whether the deletion took effect, as far as it is known
      */
     CompletableFuture<WriteResult> delete(ObjectKey key, Revision expected, CallPriority priority);
 
     /**
-     * Returns the present state of all objects below a prefix that changed after a revision,
-     * deletions included, waiting for the first such change if there is none. Since it returns
-     * state and not events, a repeated or lost answer does no harm.
+     * Returns the current state of all objects under a prefix that changed after a revision,
+     * including deletions, and waits for the first such change if there is none. Since it returns
+     * state instead of events, a duplicate or lost response is harmless.
      *
-     * @param prefix the beginning of the keys
-     * @param since the revision
-     * @param wait how long to wait; zero for a plain list
-     * @param priority how much the call matters when calls are scarce
-     * @return the objects, or why they could not be had
+     * @param prefix the prefix of the keys
+     * @param since the revision after which objects have changed
+     * @param wait the longest wait for a change; zero for a list
+     * @param priority the priority of the call when the call budget is low
+     * @return the objects, or why they could not be read
      */
     CompletableFuture<ChangesResult> changes(
             String prefix, Revision since, Duration wait, CallPriority priority);
--- a/fennelstage-objects/src/main/java/org/fennelstage/objects/ReadResult.java
+++ b/fennelstage-objects/src/main/java/org/fennelstage/objects/ReadResult.java
@@ -2,11 +2,11 @@
 
 import org.fennelstage.configuration.StoredObject;
 
-/** The end of a read. Immutable and thread-safe. */
+/** The result of a read. Immutable and thread-safe. */
 public sealed interface ReadResult {
 
     /**
-     * The object, perhaps not its newest revision.
+     * The object, possibly not at its newest revision.
      *
      * @param object the object; a tombstone with revision 0 if it never existed
      */
@@ -15,7 +15,7 @@
     /**
      * The object could not be read.
      *
-     * @param detail text for a person
+     * @param detail a description for logs and error messages
      */
     record Unavailable(String detail) implements ReadResult {}
 }
--- a/fennelstage-objects/src/main/java/org/fennelstage/objects/VmReport.java
+++ b/fennelstage-objects/src/main/java/org/fennelstage/objects/VmReport.java
@@ -4,10 +4,10 @@
 import org.fennelstage.id.VmId;
 
 /**
- * What the VMs of a data centre have in force, as kept in the object API for operators. Immutable
- * and thread-safe.
+ * The state of the VMs of a data centre, stored in the object API for operators. Immutable and
+ * thread-safe.
  *
- * @param atMillis when it was written; milliseconds since the epoch
+ * @param atMillis when the report was written; milliseconds since the epoch
  * @param vms the states by VM
  */
 public record VmReport(long atMillis, Map<VmId, VmState> vms) {
@@ -19,11 +19,11 @@
     /**
      * The state of one VM.
      *
-     * @param revision the highest configuration revision in force
-     * @param hash the hash of the configuration
-     * @param incarnation the VM's start, or later
-     * @param ready whether it takes callers
-     * @param state what its data centre believes of it
+     * @param revision the highest revision of the configuration in use
+     * @param hash the hash of the configuration in use
+     * @param incarnation the VM's incarnation; its start time or later
+     * @param ready whether it accepts requests
+     * @param state its membership state, as its data centre sees it
      */
     public record VmState(
             long revision, String hash, long incarnation, boolean ready, String state) {}
--- a/fennelstage-objects/src/main/java/org/fennelstage/objects/WriteResult.java
+++ b/fennelstage-objects/src/main/java/org/fennelstage/objects/WriteResult.java
@@ -3,35 +3,35 @@
 import org.fennelstage.configuration.Revision;
 import org.fennelstage.configuration.StoredObject;
 
-/** The end of a conditional write. Immutable and thread-safe. */
+/** The result of a conditional write. Immutable and thread-safe. */
 public sealed interface WriteResult {
 
     /**
-     * It took effect.
+     * The write took effect.
      *
      * @param revision the object's new revision
      */
     record Written(Revision revision) implements WriteResult {}
 
     /**
-     * It did not take effect: the object had another revision.
+     * The write did not take effect, since the object had another revision.
      *
-     * @param current the object as it stands
+     * @param current the current state of the object
      */
     record Conflict(StoredObject current) implements WriteResult {}
 
     /**
-     * It did not take effect and never will.
+     * The write did not take effect and never will.
      *
-     * @param detail text for a person
+     * @param detail a description for logs and error messages
      */
     record NotWritten(String detail) implements WriteResult {}
 
     /**
-     * Nobody can tell: the answer was lost. The writer reads the object back, or repeats the same
-     * conditional write.
+     * It is unknown whether the write took effect, since no response was received. The writer reads
+     * the object back, or retries the same conditional write.
      *
-     * @param detail text for a person
+     * @param detail a description for logs and error messages
      */
     record Unknown(String detail) implements WriteResult {}
 }
--- a/fennelstage-objects/src/main/java/org/fennelstage/objects/package-info.java
+++ b/fennelstage-objects/src/main/java/org/fennelstage/objects/package-info.java
@@ -1,2 +1,2 @@
-/** The platform as the system sees it: the object API, its client and the codec of its values. */
+/** The object API, its client, and the JSON encoding of stored values. */
 package org.fennelstage.objects;
