--- a/spec/guards/run.py
+++ b/spec/guards/run.py
@@ -205,7 +205,7 @@
      "(int) (accepted * IDLE_FRACTION / sharers)", "Math.max(MAX_IDLE, (int) (accepted * IDLE_FRACTION / sharers))",
      "ConnectionShareTest"),
     ("new-connection-settles", HTTP + "http/HttpClient.java",
-     "if (settling.isZero()) {", "if (settling.toNanos() >= 0) {",
+     "if (delay.isZero()) {", "if (delay.toNanos() >= 0) {",
      "HttpClientTest"),
     ("middle-model-is-learnt", CORE + "sizing/ConfidenceGains.java",
      "gain(smaller, larger).add(largerConfidence - confidence);", "gain(smaller, larger).add(INITIAL_GAIN);",
