--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Attempt.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Attempt.java
@@ -7,14 +7,14 @@
 import java.time.Duration;
 import java.util.Optional;
 import org.fennelstage.attempt.AttemptEnd;
-import org.fennelstage.attempt.Pace;
-import org.fennelstage.attempt.Silence;
-import org.fennelstage.attempt.UsualFailures;
+import org.fennelstage.attempt.BaselineFailureRate;
+import org.fennelstage.attempt.Inactivity;
+import org.fennelstage.attempt.LatencyEstimator;
 import org.fennelstage.fleet.TrackedServer;
 import org.fennelstage.http.Call;
 import org.fennelstage.http.CallFailure;
 import org.fennelstage.http.CallOptions;
-import org.fennelstage.http.ConnectionUse;
+import org.fennelstage.http.ConnectionPolicy;
 import org.fennelstage.http.ResponseListener;
 import org.fennelstage.placement.Prompt;
 import org.fennelstage.policy.Mechanism;
@@ -62,7 +62,7 @@
 
     private final RequestRun run;
     private final TrackedServer server;
-    private final Pace pace;
+    private final LatencyEstimator pace;
     private final long readMillis;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private final EventSplitter events = new EventSplitter(this::onEvent);
@@ -81,7 +81,7 @@
     Attempt(
             final RequestRun run,
             final TrackedServer server,
-            final Pace pace,
+            final LatencyEstimator pace,
             final long readMillis) {
         this.run = run;
         this.server = server;
@@ -110,11 +110,12 @@
         run.gateway().attempts().add(this);
     }
 
-    private ConnectionUse connectionUse() {
-        final int mostIdle = run.gateway().beliefs().connectionShare(run.service()).mostIdle();
-        return run.route().repeatable()
-                ? new ConnectionUse(MAX_IDLE_REPEATABLE, mostIdle, Duration.ZERO)
-                : new ConnectionUse(MAX_IDLE_AT_MOST_ONCE, mostIdle, SETTLING_AT_MOST_ONCE);
+    private ConnectionPolicy connectionUse() {
+        final int mostIdle =
+                run.gateway().beliefs().connectionShare(run.service()).maxIdleConnections();
+        return run.route().retryable()
+                ? new ConnectionPolicy(MAX_IDLE_REPEATABLE, mostIdle, Duration.ZERO)
+                : new ConnectionPolicy(MAX_IDLE_AT_MOST_ONCE, mostIdle, SETTLING_AT_MOST_ONCE);
     }
 
     RequestRun run() {
@@ -142,9 +143,9 @@
         flowing = nowFlowing;
         if (nowFlowing) {
             lastByteMillis = now();
-            server.beginAnswer();
+            server.beginResponse();
         } else {
-            server.endAnswer();
+            server.endResponse();
         }
     }
 
@@ -203,7 +204,7 @@
             }
             fail(AttemptEnd.NOT_SENT, failure.detail());
         } else {
-            if (!failure.keptConnection()) {
+            if (!failure.reusedConnection()) {
                 noteHealth(true);
             }
             noteBroken();
@@ -233,7 +234,7 @@
 
     private void onByte() {
         lastByteMillis = now();
-        server.health().onSign();
+        server.health().onBytesReceived();
     }
 
     /**
@@ -245,16 +246,16 @@
         if (ended || isPaused()) {
             return;
         }
-        if (server.hasEnded() && now() - lastByteMillis >= FORMER_LIFE_MILLIS) {
+        if (server.isSuperseded() && now() - lastByteMillis >= FORMER_LIFE_MILLIS) {
             endWithFormerLife();
             return;
         }
-        final Silence silence =
-                new Silence(
+        final Inactivity silence =
+                new Inactivity(
                         now() - lastByteMillis,
-                        server.health().silentMillis(),
+                        server.health().millisSinceLastByte(),
                         server.stalledMillis(),
-                        watchesTogether() ? server.begunAnswers() : 0);
+                        watchesTogether() ? server.begunResponses() : 0);
         if (!silence.exceeds(patienceMillis())) {
             return;
         }
@@ -263,9 +264,9 @@
                         + " silent for "
                         + silence.serverMillis()
                         + " ms, own "
-                        + silence.ownMillis()
+                        + silence.requestMillis()
                         + " ms, answers "
-                        + silence.begunAnswers();
+                        + silence.begunResponses();
         noteBroken();
         run.gateway().onSilent(server);
         run.onSilent(detail);
@@ -287,8 +288,8 @@
 
     private long patienceMillis() {
         return head.isEmpty()
-                ? pace.firstBytePatience(promptTokens())
-                : pace.nextBytePatience(run.route().maxPause().toMillis());
+                ? pace.firstByteTimeoutMillis(promptTokens())
+                : pace.nextByteTimeoutMillis(run.route().maxPause().toMillis());
     }
 
     private int promptTokens() {
@@ -303,7 +304,8 @@
         final boolean failed = answer.isServerFailure();
         noteHealth(failed);
         pace.onEnd(now() - sentMillis);
-        run.canary().onAnswer(server.entry().id(), server.entry().version(), failed, paceMillis());
+        run.canary()
+                .onResponse(server.entry().id(), server.entry().version(), failed, paceMillis());
         if (failed) {
             final byte[] content = body.toByteArray();
             fail(AttemptEnd.FAILED, "failed with " + answer.status(), () -> deliver(content));
@@ -360,7 +362,7 @@
     private void noteRead() {
         if (!read) {
             read = true;
-            server.onRead(readMillis);
+            server.onPromptRead(readMillis);
         }
     }
 
@@ -377,9 +379,9 @@
     }
 
     private void noteHealth(final boolean failed) {
-        final UsualFailures usual = run.gateway().beliefs().usualFailures(run.route().name());
+        final BaselineFailureRate usual = run.gateway().beliefs().usualFailures(run.route().name());
         server.health().onEnd(failed, usual.share());
-        usual.onAnswer(failed);
+        usual.onResponse(failed);
     }
 
     /** The time per event after the first; for a plain answer the whole time. */
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/PeerMessage.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/PeerMessage.java
@@ -9,7 +9,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.fennelstage.canary.RolloutAge;
-import org.fennelstage.crash.Acquittal;
+import org.fennelstage.crash.ClearedCrashes;
 import org.fennelstage.crash.CrashReport;
 import org.fennelstage.crash.Fingerprint;
 import org.fennelstage.fleet.Incarnation;
@@ -75,7 +75,7 @@
 
         @Override
         public String text() {
-            return "unreachable " + server.server().value() + " " + server.bornMillis();
+            return "unreachable " + server.server().value() + " " + server.startMillis();
         }
     }
 
@@ -92,7 +92,7 @@
 
         @Override
         public String text() {
-            return "leaving " + server.server().value() + " " + server.bornMillis();
+            return "leaving " + server.server().value() + " " + server.startMillis();
         }
     }
 
@@ -174,7 +174,7 @@
         public String text() {
             final StringBuilder text = new StringBuilder("crash ");
             text.append(report.server().server().value());
-            text.append(' ').append(report.server().bornMillis());
+            text.append(' ').append(report.server().startMillis());
             report.contents().forEach(content -> text.append(' ').append(content));
             return text.toString();
         }
@@ -185,7 +185,7 @@
      *
      * @param acquittal the request and the workers
      */
-    record Answered(Acquittal acquittal) implements PeerMessage {
+    record Answered(ClearedCrashes acquittal) implements PeerMessage {
 
         public Answered {
             Objects.requireNonNull(acquittal, "acquittal is null");
@@ -202,7 +202,7 @@
                                     text.append(' ')
                                             .append(server.server().value())
                                             .append(',')
-                                            .append(server.bornMillis()));
+                                            .append(server.startMillis()));
             return text.toString();
         }
     }
@@ -247,7 +247,7 @@
         if (answered.matches()) {
             final Fingerprint content = Fingerprint.parse(answered.group(1));
             return Optional.of(
-                    new Answered(new Acquittal(content, incarnations(answered.group(2)))));
+                    new Answered(new ClearedCrashes(content, incarnations(answered.group(2)))));
         }
         final Matcher sums = LOAD_SUMS.matcher(text);
         if (sums.matches()) {
--- a/fennelstage-router/src/main/java/org/fennelstage/route/ChatRun.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/ChatRun.java
@@ -118,13 +118,13 @@
                                                 team,
                                                 chooseModel(),
                                                 services.rollouts()));
-        if (choice instanceof VersionChooser.Choice.Refused refused) {
+        if (choice instanceof VersionChooser.Choice.Rejected refused) {
             end(refused.outcome());
         } else if (choice instanceof VersionChooser.Choice.Chosen chosen) {
             version = chosen.version();
-            exposure = chosen.watched();
+            exposure = chosen.completedRollout();
             final Optional<Rollout> trial =
-                    chosen.trial().filter(r -> fallback.isEmpty()).filter(this::isSampled);
+                    chosen.runningRollout().filter(r -> fallback.isEmpty()).filter(this::isSampled);
             if (trial.isPresent()) {
                 askForShare(trial.get());
             } else {
@@ -204,7 +204,7 @@
             return;
         }
         if (attempts.isFirst()) {
-            services.retries().onAttempt();
+            services.retries().onFirstAttempt();
         }
         // The declarations may have changed while the share or the claim was on its way; a version
         // withdrawn meanwhile must not get this request.
@@ -478,7 +478,7 @@
             giveClaimBack();
         }
         if (outcome instanceof Outcome.Unknown) {
-            EventLog.write(Event.REQUEST_UNKNOWN, "request", id);
+            EventLog.write(Event.REQUEST_OUTCOME_UNKNOWN, "request", id);
         }
         EventLog.write(
                 Event.REQUEST_ENDED,
