--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Attempt.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Attempt.java
@@ -66,7 +66,7 @@
     private final long readMillis;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private final EventSplitter events = new EventSplitter(this::onEvent);
-    private Optional<AnswerHead> head = Optional.empty();
+    private Optional<ResponseHead> head = Optional.empty();
     private Call call;
     private long sentMillis;
     private long lastByteMillis;
@@ -89,7 +89,7 @@
         this.readMillis = readMillis;
     }
 
-    void send(final Dispatch dispatch) {
+    void send(final AttemptMetadata dispatch) {
         server.begin(readMillis);
         sentMillis = now();
         final CallOptions options =
@@ -97,7 +97,7 @@
                         CONNECT_TIMEOUT,
                         dispatch.remaining().plus(BEYOND_DEADLINE),
                         connectionUse(),
-                        headers -> codec().answers(headers, run.request().id()));
+                        headers -> codec().matchesRequest(headers, run.request().id()));
         call =
                 run.gateway()
                         .client()
@@ -153,7 +153,7 @@
         onByte();
         noteRead();
         pace.onFirstByte(now() - sentMillis, promptTokens());
-        final AnswerHead decoded = codec().decodeAnswer(status, headers);
+        final ResponseHead decoded = codec().decodeResponse(status, headers);
         head = Optional.of(decoded);
         noteOwnWord(decoded);
         headMillis = now();
@@ -164,11 +164,11 @@
     }
 
     /** Takes what the worker says of itself beside its answer. */
-    private void noteOwnWord(final AnswerHead decoded) {
-        if (decoded.leaving()) {
+    private void noteOwnWord(final ResponseHead decoded) {
+        if (decoded.draining()) {
             run.gateway().onLeaving(server);
         }
-        decoded.wantsNothingFor().ifPresent(time -> run.gateway().onTurnedAway(server, time));
+        decoded.rejectsFor().ifPresent(time -> run.gateway().onTurnedAway(server, time));
     }
 
     @Override
@@ -186,7 +186,7 @@
 
     @Override
     public void onEnd() {
-        final AnswerHead answer = head.orElseThrow();
+        final ResponseHead answer = head.orElseThrow();
         switch (answer.trust()) {
             case REJECTED -> onRejected(answer);
             case UNSIGNED -> fail(AttemptEnd.UNKNOWN, "unsigned answer " + answer.status());
@@ -221,7 +221,7 @@
             return;
         }
         brokenNoted = true;
-        if (head.isEmpty() || lastByteMillis - headMillis < CrashWatch.SUSPECT_MILLIS) {
+        if (head.isEmpty() || lastByteMillis - headMillis < CrashDetector.SUSPECT_MILLIS) {
             run.gateway().crashes().onBroken(server, run.content());
         }
     }
@@ -241,7 +241,7 @@
      * second. A timer set when the request was sent would be as patient with a begun stream as with
      * a long prompt: a stream cut off right after its first event was noticed six seconds late.
      */
-    void checkSilence() {
+    void checkInactivity() {
         if (ended || isPaused()) {
             return;
         }
@@ -295,11 +295,11 @@
         return run.request().prompt().map(Prompt::promptTokens).orElse(0);
     }
 
-    private void onRejected(final AnswerHead answer) {
+    private void onRejected(final ResponseHead answer) {
         fail(AttemptEnd.REJECTED, "rejected with " + answer.status());
     }
 
-    private void onSigned(final AnswerHead answer) {
+    private void onSigned(final ResponseHead answer) {
         final boolean failed = answer.isServerFailure();
         noteHealth(failed);
         pace.onEnd(now() - sentMillis);
@@ -327,7 +327,7 @@
         deliverNow(head.orElseThrow(), content);
     }
 
-    private void deliverNow(final AnswerHead answer, final byte[] content) {
+    private void deliverNow(final ResponseHead answer, final byte[] content) {
         release();
         run.answer().whole(answer, content);
         run.onDelivered(answer);
@@ -391,7 +391,7 @@
     }
 
     private boolean streams() {
-        return run.isStream() && head.map(AnswerHead::isSuccess).orElse(false);
+        return run.isStream() && head.map(ResponseHead::isSuccess).orElse(false);
     }
 
     private WireCodec codec() {
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/CallerAnswer.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/CallerAnswer.java
@@ -42,7 +42,7 @@
      * @param id its id, if it has one
      * @return false if the caller reads more slowly than events come
      */
-    boolean event(final AnswerHead head, final byte[] event, final Optional<String> id) {
+    boolean event(final ResponseHead head, final byte[] event, final Optional<String> id) {
         start(head.status(), head.headers());
         id.ifPresent(i -> lastEventId = Optional.of(i));
         exchange.write(Unpooled.wrappedBuffer(event));
@@ -50,13 +50,13 @@
     }
 
     /** Ends a stream. */
-    void end(final AnswerHead head) {
+    void end(final ResponseHead head) {
         start(head.status(), head.headers());
         exchange.end();
     }
 
     /** Sends a whole answer. */
-    void whole(final AnswerHead head, final byte[] body) {
+    void whole(final ResponseHead head, final byte[] body) {
         started = true;
         onFirstByte.run();
         exchange.respond(head.status(), head.headers(), body);
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/CrashWatch.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/CrashDetector.java
@@ -34,7 +34,7 @@
  * links break. The worker is looked at; it has ended if nobody listens there any more, or if it
  * alone of its data centre does not answer. Confined to the event loop.
  */
-public final class CrashWatch {
+public final class CrashDetector {
 
     /**
      * A worker that answers for longer than this before it ends was not ended by that answer's
@@ -73,7 +73,7 @@
      * @param clock the clock
      * @param client calls workers
      */
-    public CrashWatch(final MonotonicClock clock, final HttpClient client) {
+    public CrashDetector(final MonotonicClock clock, final HttpClient client) {
         this.client = Objects.requireNonNull(client, "client is null");
         this.ledger = CrashLedger.of(clock);
         this.quarantine = Quarantine.of(clock);
@@ -94,7 +94,8 @@
      * @param reports takes the ends of workers
      * @param acquittals takes the requests that were answered after all
      */
-    public void onFound(final Consumer<CrashReport> reports, final Consumer<Acquittal> acquittals) {
+    public void onDetected(
+            final Consumer<CrashReport> reports, final Consumer<Acquittal> acquittals) {
         reportListener = Objects.requireNonNull(reports, "reports is null");
         acquittalListener = Objects.requireNonNull(acquittals, "acquittals is null");
     }
@@ -232,7 +233,7 @@
      *
      * @param acquittal the request, and the ends that count no longer against it
      */
-    public void onAcquittal(final Acquittal acquittal) {
+    public void onClearedCrashes(final Acquittal acquittal) {
         ledger.clear(acquittal);
         lift(acquittal.content());
     }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Gateway.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Gateway.java
@@ -31,14 +31,14 @@
  */
 public final class Gateway implements RequestHandler {
 
-    private final Beliefs beliefs;
+    private final GatewayState beliefs;
     private final WireCodec codec;
     private final HttpClient client;
     private final Placement placement;
     private final RandomGenerator random;
     private final GatewayMetrics metrics;
     private final Policy policy;
-    private final CrashWatch crashes;
+    private final CrashDetector crashes;
     private Consumer<Incarnation> unreachableListener = id -> {};
     private Consumer<Incarnation> leavingListener = id -> {};
     private final Set<Attempt> attempts = new LinkedHashSet<>();
@@ -56,7 +56,7 @@
      * @param policy the mechanisms in use
      */
     public Gateway(
-            final Beliefs beliefs,
+            final GatewayState beliefs,
             final WireCodec codec,
             final HttpClient client,
             final Placement placement,
@@ -70,7 +70,7 @@
         this.random = Objects.requireNonNull(random, "random is null");
         this.metrics = Objects.requireNonNull(metrics, "metrics is null");
         this.policy = Objects.requireNonNull(policy, "policy is null");
-        this.crashes = new CrashWatch(beliefs.clock(), client);
+        this.crashes = new CrashDetector(beliefs.clock(), client);
         crashes.onDecided(this::onUnreachable, this::onQuarantined);
         beliefs.servers().onRestart(this::onRestarted);
     }
@@ -117,7 +117,7 @@
      *
      * @param listener takes the worker
      */
-    public void onLeaving(final Consumer<Incarnation> listener) {
+    public void onServerDraining(final Consumer<Incarnation> listener) {
         leavingListener = Objects.requireNonNull(listener, "listener is null");
     }
 
@@ -131,8 +131,8 @@
     }
 
     /** Gives up attempts at workers that went silent. To be called several times a second. */
-    public void checkSilence() {
-        List.copyOf(attempts).forEach(Attempt::checkSilence);
+    public void checkInactivity() {
+        List.copyOf(attempts).forEach(Attempt::checkInactivity);
     }
 
     /**
@@ -140,7 +140,7 @@
      *
      * @return the watch
      */
-    public CrashWatch crashes() {
+    public CrashDetector crashes() {
         return crashes;
     }
 
@@ -155,7 +155,7 @@
         return attempts;
     }
 
-    Beliefs beliefs() {
+    GatewayState beliefs() {
         return beliefs;
     }
 
@@ -237,7 +237,7 @@
     /**
      * Closes the connections that rest with the former life of a worker: without a reset (behind a
      * cut) a request sent on one would wait for its caller's time in vain. Requests under way there
-     * are ended by {@link Attempt#checkSilence}.
+     * are ended by {@link Attempt#checkInactivity}.
      */
     private void onRestarted(final TrackedServer former) {
         final ServerEntry entry = former.entry();
@@ -272,7 +272,7 @@
             final Refusal refusal,
             final Optional<Duration> comeBack) {
         final byte[] body = OwnAnswer.body(refusal);
-        exchange.respond(refusal.status(), codec.ownAnswer(requestId, comeBack), body);
+        exchange.respond(refusal.status(), codec.errorHeaders(requestId, comeBack), body);
     }
 
     private void refuse(
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/GatewaySettings.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/GatewaySettings.java
@@ -6,29 +6,29 @@
 /**
  * Bounds that the deployment sets. Immutable and thread-safe.
  *
- * @param repeatRatio repeats per request that the whole fleet may make in a window
- * @param repeatWindow the window
- * @param repeatSlack repeats beyond that for the whole fleet
+ * @param retryRatio repeats per request that the whole fleet may make in a window
+ * @param retryWindow the window
+ * @param retrySlack repeats beyond that for the whole fleet
  * @param canaryShare the largest part of a service's requests that a bad version may get
  * @param configurationDelay how long after the store's acknowledgement of a configuration a VM may
  *     act by the one before
- * @param leavingDelay how long after the store's acknowledgement that a worker leaves a VM may send
- *     it requests
+ * @param drainingDelay how long after the store's acknowledgement that a worker leaves a VM may
+ *     send it requests
  * @param grace how long a process may go on after it was asked to stop
  */
 public record GatewaySettings(
-        double repeatRatio,
-        Duration repeatWindow,
-        double repeatSlack,
+        double retryRatio,
+        Duration retryWindow,
+        double retrySlack,
         double canaryShare,
         Duration configurationDelay,
-        Duration leavingDelay,
+        Duration drainingDelay,
         Duration grace) {
 
     public GatewaySettings {
-        Objects.requireNonNull(repeatWindow, "repeatWindow is null");
+        Objects.requireNonNull(retryWindow, "retryWindow is null");
         Objects.requireNonNull(configurationDelay, "configurationDelay is null");
-        Objects.requireNonNull(leavingDelay, "leavingDelay is null");
+        Objects.requireNonNull(drainingDelay, "drainingDelay is null");
         Objects.requireNonNull(grace, "grace is null");
     }
 
@@ -37,7 +37,7 @@
      *
      * @return the shorter of both delays
      */
-    public Duration newsDelay() {
-        return configurationDelay.compareTo(leavingDelay) < 0 ? configurationDelay : leavingDelay;
+    public Duration minPropagationDelay() {
+        return configurationDelay.compareTo(drainingDelay) < 0 ? configurationDelay : drainingDelay;
     }
 }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Beliefs.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/GatewayState.java
@@ -38,7 +38,7 @@
  *
  * <p>Invariant: the configuration's version never falls. Confined to one event loop.
  */
-public final class Beliefs {
+public final class GatewayState {
 
     /**
      * VMs among which the fleet's slack of repeats is divided at least. A VM that just started does
@@ -77,7 +77,7 @@
      * @param clock the clock
      * @param settings the deployment's bounds
      */
-    public Beliefs(final MonotonicClock clock, final GatewaySettings settings) {
+    public GatewayState(final MonotonicClock clock, final GatewaySettings settings) {
         this.clock = Objects.requireNonNull(clock, "clock is null");
         this.settings = Objects.requireNonNull(settings, "settings is null");
         this.servers = ServerTable.of(clock);
@@ -160,7 +160,7 @@
     }
 
     private double ownSlack() {
-        return settings.repeatSlack() / Math.max(LEAST_SLACK_PARTS, vmCount);
+        return settings.retrySlack() / Math.max(LEAST_SLACK_PARTS, vmCount);
     }
 
     /**
@@ -201,7 +201,7 @@
      *
      * @param dataCentre the data centre
      */
-    public void onTakenBack(final DataCentreId dataCentre) {
+    public void onEvacuationEnded(final DataCentreId dataCentre) {
         servers.all().stream()
                 .filter(server -> server.entry().dataCentre().equals(dataCentre))
                 .forEach(eligibility::onTakenBack);
@@ -218,8 +218,8 @@
                 s ->
                         RepeatBudget.of(
                                 clock,
-                                settings.repeatWindow(),
-                                settings.repeatRatio(),
+                                settings.retryWindow(),
+                                settings.retryRatio(),
                                 this::ownSlack));
     }
 
@@ -228,7 +228,7 @@
      *
      * @param position the position
      */
-    public void onOrdersKnownTo(final Position position) {
+    public void onOrdersReadUpTo(final Position position) {
         ordersKnownTo = position.isAfter(ordersKnownTo) ? position : ordersKnownTo;
         admitVersions();
     }
@@ -237,7 +237,7 @@
      * Takes the store at its word again, once operators and workers have had the time to write
      * again what it lost by coming back from an older copy. To be called a few times a second.
      */
-    public void settle() {
+    public void checkRestoreGrace() {
         if (settling && clock.millis() >= settledAtMillis) {
             settling = false;
             canaries.values().forEach(Canary::onStoreSettled);
@@ -251,7 +251,7 @@
     }
 
     /** Notes that the store has come back from an older copy. */
-    public void onStoreReplaced() {
+    public void onStoreRestored() {
         servers.onStoreReplaced();
         canaries.values().forEach(Canary::onStoreReplaced);
         settling = true;
@@ -296,7 +296,7 @@
      *
      * @param action asks for them
      */
-    public void onOrdersWanted(final Runnable action) {
+    public void onOrdersNeeded(final Runnable action) {
         ordersWanted = Objects.requireNonNull(action, "action is null");
     }
 
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/RequestLog.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/RequestLog.java
@@ -48,7 +48,7 @@
             final TrackedServer server,
             final VersionChoice choice,
             final int candidates,
-            final Dispatch dispatch,
+            final AttemptMetadata dispatch,
             final long expectedMillis) {
         EventLog.write(
                 Event.REQUEST_SENT,
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/RequestRun.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/RequestRun.java
@@ -193,7 +193,7 @@
     }
 
     /** The attempt brought a whole answer that the caller has. */
-    void onDelivered(final AnswerHead head) {
+    void onDelivered(final ResponseHead head) {
         open = Optional.empty();
         if (head.isSuccess()) {
             gateway.crashes().onAnswered(content);
@@ -229,7 +229,7 @@
      * @param head the head of the answer
      * @return true if it was dropped
      */
-    boolean dropped(final AnswerHead head) {
+    boolean dropped(final ResponseHead head) {
         final Optional<ModelId> better = models.better(head.confidence(), this::canBeInTime);
         final boolean stays =
                 answer.started()
@@ -308,8 +308,8 @@
 
     private void send(final TrackedServer server, final Job job, final int candidates) {
         attempts.begin(server.entry().id());
-        final Dispatch dispatch =
-                new Dispatch(
+        final AttemptMetadata dispatch =
+                new AttemptMetadata(
                         server.entry(),
                         remaining(),
                         access.map(TeamAccess::team),
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/AnswerHead.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/ResponseHead.java
@@ -13,16 +13,16 @@
  * @param trust what the worker says of the run
  * @param headers the headers that go on to the caller
  * @param confidence the model's own opinion of the answer, from 0 to 100; empty if not given
- * @param leaving whether the worker says that it is about to stop and takes no new work
- * @param wantsNothingFor for how long the worker wants no request from this VM, if it says so
+ * @param draining whether the worker says that it is about to stop and takes no new work
+ * @param rejectsFor for how long the worker wants no request from this VM, if it says so
  */
-public record AnswerHead(
+public record ResponseHead(
         int status,
         Trust trust,
         HttpHeaders headers,
         OptionalInt confidence,
-        boolean leaving,
-        Optional<Duration> wantsNothingFor) {
+        boolean draining,
+        Optional<Duration> rejectsFor) {
 
     /** What an answer proves. */
     public enum Trust {
@@ -34,11 +34,11 @@
         UNSIGNED
     }
 
-    public AnswerHead {
+    public ResponseHead {
         Objects.requireNonNull(trust, "trust is null");
         Objects.requireNonNull(headers, "headers is null");
         Objects.requireNonNull(confidence, "confidence is null");
-        Objects.requireNonNull(wantsNothingFor, "wantsNothingFor is null");
+        Objects.requireNonNull(rejectsFor, "rejectsFor is null");
     }
 
     boolean isSuccess() {
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/WireCodec.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/WireCodec.java
@@ -29,7 +29,7 @@
      * @param dispatch what goes with it
      * @return the request to send
      */
-    FullHttpRequest encode(CallerRequest request, Dispatch dispatch);
+    FullHttpRequest encode(CallerRequest request, AttemptMetadata dispatch);
 
     /**
      * Tells whether an answer belongs to a request.
@@ -38,7 +38,7 @@
      * @param requestId the request
      * @return false if the answer names another request
      */
-    boolean answers(HttpHeaders headers, String requestId);
+    boolean matchesRequest(HttpHeaders headers, String requestId);
 
     /**
      * Decodes the head of a worker's answer.
@@ -47,14 +47,15 @@
      * @param headers the headers
      * @return the head
      */
-    AnswerHead decodeAnswer(int status, HttpHeaders headers);
+    ResponseHead decodeResponse(int status, HttpHeaders headers);
 
     /**
      * Returns the headers of an answer of the router's own.
      *
      * @param requestId the request that is answered
-     * @param comeBack how long the caller should wait before it asks again, empty if it should not
+     * @param retryAfter how long the caller should wait before it asks again, empty if it should
+     *     not
      * @return the headers
      */
-    HttpHeaders ownAnswer(String requestId, Optional<Duration> comeBack);
+    HttpHeaders errorHeaders(String requestId, Optional<Duration> retryAfter);
 }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/ConfigurationFeed.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/ConfigurationFeed.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Objects;
-import org.fennelstage.gateway.Beliefs;
+import org.fennelstage.gateway.GatewayState;
 import org.fennelstage.history.Position;
 import org.fennelstage.log.Event;
 import org.fennelstage.log.EventLog;
@@ -13,9 +13,9 @@
 /** Brings configurations into force. Confined to the event loop. */
 final class ConfigurationFeed implements Follower.Listener<ServingConfiguration> {
 
-    private final Beliefs beliefs;
+    private final GatewayState beliefs;
 
-    ConfigurationFeed(final Beliefs beliefs) {
+    ConfigurationFeed(final GatewayState beliefs) {
         this.beliefs = Objects.requireNonNull(beliefs, "beliefs is null");
     }
 
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/EvacuationFeed.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/EvacuationFeed.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import org.fennelstage.fleet.Evacuations;
-import org.fennelstage.gateway.Beliefs;
+import org.fennelstage.gateway.GatewayState;
 import org.fennelstage.history.Position;
 import org.fennelstage.id.DataCentreId;
 import org.fennelstage.log.Event;
@@ -18,13 +18,13 @@
 /** Brings the operators' orders to empty data centres into force. Confined to the event loop. */
 final class EvacuationFeed implements Follower.Listener<DataCentreId> {
 
-    private final Beliefs beliefs;
+    private final GatewayState beliefs;
     private final Evacuations evacuations;
     private final Runnable afterList;
     private boolean unsettled;
     private long settledAtMillis;
 
-    EvacuationFeed(final Beliefs beliefs, final Runnable afterList) {
+    EvacuationFeed(final GatewayState beliefs, final Runnable afterList) {
         this.beliefs = Objects.requireNonNull(beliefs, "beliefs is null");
         this.evacuations = beliefs.evacuations();
         this.afterList = Objects.requireNonNull(afterList, "afterList is null");
@@ -65,7 +65,7 @@
     public void onReplaced() {
         evacuations.onStoreReplaced();
         unsettled = true;
-        settledAtMillis = beliefs.clock().millis() + Beliefs.REWRITE_MILLIS;
+        settledAtMillis = beliefs.clock().millis() + GatewayState.REWRITE_MILLIS;
     }
 
     /**
@@ -80,7 +80,7 @@
     }
 
     private void onTakenBack(final DataCentreId dataCentre, final Object source) {
-        beliefs.onTakenBack(dataCentre);
+        beliefs.onEvacuationEnded(dataCentre);
         EventLog.write(Event.EVACUATION_ENDED, "data_centre", dataCentre, "source", source);
     }
 
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/GatewayVm.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/GatewayVm.java
@@ -13,9 +13,9 @@
 import org.fennelstage.canary.RolloutOrder;
 import org.fennelstage.fleet.LoadBoard;
 import org.fennelstage.fleet.ServerAddress;
-import org.fennelstage.gateway.Beliefs;
 import org.fennelstage.gateway.Gateway;
 import org.fennelstage.gateway.GatewayMetrics;
+import org.fennelstage.gateway.GatewayState;
 import org.fennelstage.gateway.Sockets;
 import org.fennelstage.gateway.WireCodec;
 import org.fennelstage.http.HttpClient;
@@ -52,7 +52,7 @@
     private VmSettings settings;
     private final NioEventLoopGroup group;
     private final EventLoop loop;
-    private final Beliefs beliefs;
+    private final GatewayState beliefs;
     private final Gateway gateway;
     private final GatewayMetrics metrics = new GatewayMetrics();
     private final ServerFeed serverFeed;
@@ -78,7 +78,7 @@
         this.loop = group.next();
         final MonotonicClock clock = () -> TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
         final RandomGenerator random = RandomGenerator.of("L64X128MixRandom");
-        this.beliefs = new Beliefs(clock, settings.bounds());
+        this.beliefs = new GatewayState(clock, settings.bounds());
         final HttpClient workers = new HttpClient(loop);
         final HttpClient storeClient = new HttpClient(loop);
         final Peers peers =
@@ -102,7 +102,10 @@
                         storeAt.apply(storeClient, settings.store()), peers::relays, clock);
         final CoalescedStore coalesced =
                 new CoalescedStore(
-                        store, peers::coalescing, () -> this.settings.bounds().newsDelay(), clock);
+                        store,
+                        peers::coalescing,
+                        () -> this.settings.bounds().minPropagationDelay(),
+                        clock);
         this.readiness = new Readiness(settings, beliefs);
         this.serverFeed = new ServerFeed(beliefs, readiness::onServersListed);
         this.rolloutFeed =
@@ -135,8 +138,9 @@
             gateway.onUnreachable(news::tell);
         }
         this.crashNews = new CrashNews(peers::allOthers, news::tell, clock);
-        gateway.onLeaving(server -> news.tell(new PeerMessage.Leaving(server), peers.allOthers()));
-        gateway.crashes().onFound(crashNews::onReport, crashNews::onAcquittal);
+        gateway.onServerDraining(
+                server -> news.tell(new PeerMessage.Leaving(server), peers.allOthers()));
+        gateway.crashes().onDetected(crashNews::onReport, crashNews::onAcquittal);
         this.rolloutAges = new RolloutAges(beliefs, peers::sharers, news::tell, random);
         final LoadCollection collection =
                 new LoadCollection(settings.vm(), peers, loadBoard, news::tell, clock);
@@ -187,7 +191,7 @@
                         StoreKind.ROLLOUTS,
                         () -> rarePace(StoreWatches.ROLLOUT_PACE, peers),
                         rolloutFeed);
-        beliefs.onOrdersWanted(rollouts::refresh);
+        beliefs.onOrdersNeeded(rollouts::refresh);
         if (settings.evacuations()) {
             watches.of(
                             StoreKind.EVACUATIONS,
@@ -326,7 +330,7 @@
 
     private void performDuties() {
         try {
-            gateway.checkSilence();
+            gateway.checkInactivity();
             if (settings.policy().uses(Mechanism.LOAD_REPORTS)) {
                 loadReports.sendDue();
             }
@@ -334,7 +338,7 @@
                 rolloutAges.sendDue();
             }
             serverFeed.dropLapsed();
-            beliefs.settle();
+            beliefs.checkRestoreGrace();
             evacuationFeed.settle();
             rolloutFeed.writeDue();
             crashNews.sendDue();
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/PeerInbox.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/PeerInbox.java
@@ -4,22 +4,22 @@
 import java.util.Optional;
 import org.fennelstage.fleet.Incarnation;
 import org.fennelstage.fleet.TrackedServer;
-import org.fennelstage.gateway.Beliefs;
-import org.fennelstage.gateway.CrashWatch;
+import org.fennelstage.gateway.CrashDetector;
+import org.fennelstage.gateway.GatewayState;
 import org.fennelstage.log.Event;
 import org.fennelstage.log.EventLog;
 
 /** Hands what other VMs tell to whom it concerns. Confined to the event loop. */
 final class PeerInbox {
 
-    private final Beliefs beliefs;
-    private final CrashWatch crashes;
+    private final GatewayState beliefs;
+    private final CrashDetector crashes;
     private final LoadCollection loads;
     private final RolloutAges rolloutAges;
 
     PeerInbox(
-            final Beliefs beliefs,
-            final CrashWatch crashes,
+            final GatewayState beliefs,
+            final CrashDetector crashes,
             final LoadCollection loads,
             final RolloutAges rolloutAges) {
         this.beliefs = Objects.requireNonNull(beliefs, "beliefs is null");
@@ -48,7 +48,7 @@
         } else if (message instanceof PeerMessage.Crash crash) {
             crashes.onReport(crash.report());
         } else if (message instanceof PeerMessage.Answered answered) {
-            crashes.onAcquittal(answered.acquittal());
+            crashes.onClearedCrashes(answered.acquittal());
         }
     }
 
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/QuarantineFeed.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/QuarantineFeed.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.function.ToIntFunction;
 import org.fennelstage.crash.Fingerprint;
-import org.fennelstage.gateway.CrashWatch;
+import org.fennelstage.gateway.CrashDetector;
 import org.fennelstage.log.Event;
 import org.fennelstage.log.EventLog;
 import org.fennelstage.store.Follower;
@@ -42,7 +42,7 @@
     /** The wait after a write that failed; milliseconds. */
     private static final long RETRY_MILLIS = 1_000;
 
-    private final CrashWatch crashes;
+    private final CrashDetector crashes;
     private final Store store;
     private final MonotonicClock clock;
     private final Runnable afterList;
@@ -54,7 +54,7 @@
     private long retryAtMillis = Long.MIN_VALUE;
 
     QuarantineFeed(
-            final CrashWatch crashes,
+            final CrashDetector crashes,
             final Store store,
             final ToIntFunction<String> turnAt,
             final MonotonicClock clock,
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/Readiness.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/Readiness.java
@@ -1,7 +1,7 @@
 package org.fennelstage.vm;
 
 import java.util.Objects;
-import org.fennelstage.gateway.Beliefs;
+import org.fennelstage.gateway.GatewayState;
 import org.fennelstage.http.RequestHandler;
 import org.fennelstage.http.ServerExchange;
 import org.fennelstage.log.Event;
@@ -21,7 +21,7 @@
     private static final int NOT_FOUND = 404;
 
     private final VmSettings settings;
-    private final Beliefs beliefs;
+    private final GatewayState beliefs;
     private boolean serversListed;
     private boolean rolloutsListed;
     private boolean quarantineListed;
@@ -29,7 +29,7 @@
     private boolean ready;
     private boolean stopping;
 
-    Readiness(final VmSettings settings, final Beliefs beliefs) {
+    Readiness(final VmSettings settings, final GatewayState beliefs) {
         this.settings = Objects.requireNonNull(settings, "settings is null");
         this.beliefs = Objects.requireNonNull(beliefs, "beliefs is null");
         this.evacuationsListed = !settings.evacuations();
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/RolloutAges.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/RolloutAges.java
@@ -10,7 +10,7 @@
 import java.util.random.RandomGenerator;
 import org.fennelstage.canary.Canary;
 import org.fennelstage.canary.RolloutAge;
-import org.fennelstage.gateway.Beliefs;
+import org.fennelstage.gateway.GatewayState;
 import org.fennelstage.log.Event;
 import org.fennelstage.log.EventLog;
 
@@ -35,14 +35,14 @@
     /** From which change on a correction is logged; milliseconds. Less is the messages' delay. */
     private static final long LOGGED_FROM_MILLIS = 50;
 
-    private final Beliefs beliefs;
+    private final GatewayState beliefs;
     private final Supplier<List<InetSocketAddress>> others;
     private final BiConsumer<PeerMessage, List<InetSocketAddress>> tell;
     private final RandomGenerator random;
     private long dueMillis;
 
     RolloutAges(
-            final Beliefs beliefs,
+            final GatewayState beliefs,
             final Supplier<List<InetSocketAddress>> others,
             final BiConsumer<PeerMessage, List<InetSocketAddress>> tell,
             final RandomGenerator random) {
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/RolloutFeed.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/RolloutFeed.java
@@ -14,7 +14,7 @@
 import org.fennelstage.canary.Canary;
 import org.fennelstage.canary.RolloutOrder;
 import org.fennelstage.canary.RolloutPhase;
-import org.fennelstage.gateway.Beliefs;
+import org.fennelstage.gateway.GatewayState;
 import org.fennelstage.history.Position;
 import org.fennelstage.id.ServiceName;
 import org.fennelstage.log.Event;
@@ -38,7 +38,7 @@
     /** A phase that is to be written. */
     private record Due(String target, RolloutPhase phase) {}
 
-    private final Beliefs beliefs;
+    private final GatewayState beliefs;
     private final Store store;
     private final Turns<ServiceName> turns;
     private final InstantSource wallClock;
@@ -47,7 +47,7 @@
     private final Map<ServiceName, Due> due = new HashMap<>();
 
     RolloutFeed(
-            final Beliefs beliefs,
+            final GatewayState beliefs,
             final Store store,
             final InstantSource wallClock,
             final ToIntFunction<String> turnAt,
@@ -72,7 +72,7 @@
 
     @Override
     public void onPosition(final Position position) {
-        beliefs.onOrdersKnownTo(position);
+        beliefs.onOrdersReadUpTo(position);
     }
 
     private void take(final RolloutOrder order) {
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/ServerFeed.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/ServerFeed.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import org.fennelstage.fleet.ServerEntry;
 import org.fennelstage.fleet.ServerTable;
-import org.fennelstage.gateway.Beliefs;
+import org.fennelstage.gateway.GatewayState;
 import org.fennelstage.id.BackendServerId;
 import org.fennelstage.log.Event;
 import org.fennelstage.log.EventLog;
@@ -16,11 +16,11 @@
 /** Brings news of workers into the table. Confined to the event loop. */
 final class ServerFeed implements Follower.Listener<ServerEntry> {
 
-    private final Beliefs beliefs;
+    private final GatewayState beliefs;
     private final ServerTable servers;
     private final Runnable afterList;
 
-    ServerFeed(final Beliefs beliefs, final Runnable afterList) {
+    ServerFeed(final GatewayState beliefs, final Runnable afterList) {
         this.beliefs = Objects.requireNonNull(beliefs, "beliefs is null");
         this.servers = beliefs.servers();
         this.afterList = Objects.requireNonNull(afterList, "afterList is null");
@@ -96,7 +96,7 @@
 
     @Override
     public void onReplaced() {
-        beliefs.onStoreReplaced();
+        beliefs.onStoreRestored();
     }
 
     /** Drops entries that lapsed while the store was away and did not come back. */
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/VmMetrics.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/VmMetrics.java
@@ -3,9 +3,9 @@
 import io.netty.handler.codec.http.HttpHeaderNames;
 import java.util.Map;
 import java.util.Objects;
-import org.fennelstage.gateway.Beliefs;
 import org.fennelstage.gateway.Gateway;
 import org.fennelstage.gateway.GatewayMetrics;
+import org.fennelstage.gateway.GatewayState;
 import org.fennelstage.http.HttpClient;
 import org.fennelstage.http.RequestHandler;
 import org.fennelstage.http.ServerExchange;
@@ -22,7 +22,7 @@
 
     VmMetrics(
             final GatewayMetrics metrics,
-            final Beliefs beliefs,
+            final GatewayState beliefs,
             final Gateway gateway,
             final EraTracker eras,
             final HttpClient workers) {
--- a/fennelstage-gateway/src/test/java/org/fennelstage/gateway/CrashWatchTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/gateway/CrashDetectorTest.java
@@ -17,18 +17,18 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-class CrashWatchTest {
+class CrashDetectorTest {
 
     private static final Fingerprint CONTENT = new Fingerprint(7);
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final AtomicLong now = new AtomicLong(1_000_000);
     private final List<Acquittal> told = new ArrayList<>();
-    private final CrashWatch answering = watch();
-    private final CrashWatch other = watch();
+    private final CrashDetector answering = watch();
+    private final CrashDetector other = watch();
 
-    private CrashWatch watch() {
-        return new CrashWatch(now::get, new HttpClient(group.next()));
+    private CrashDetector watch() {
+        return new CrashDetector(now::get, new HttpClient(group.next()));
     }
 
     @AfterEach
@@ -46,9 +46,9 @@
     }
 
     private void isAnswered() {
-        answering.onFound(report -> {}, told::add);
+        answering.onDetected(report -> {}, told::add);
         answering.onAnswered(CONTENT);
-        told.forEach(other::onAcquittal);
+        told.forEach(other::onClearedCrashes);
     }
 
     @Test
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/QuarantineFeedTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/QuarantineFeedTest.java
@@ -12,7 +12,7 @@
 import org.fennelstage.crash.Fingerprint;
 import org.fennelstage.crash.Quarantine;
 import org.fennelstage.fleet.Incarnation;
-import org.fennelstage.gateway.CrashWatch;
+import org.fennelstage.gateway.CrashDetector;
 import org.fennelstage.history.Position;
 import org.fennelstage.http.HttpClient;
 import org.fennelstage.id.BackendServerId;
@@ -29,7 +29,7 @@
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final AtomicLong now = new AtomicLong(1_000_000);
     private final ManualStore store = new ManualStore();
-    private final CrashWatch crashes = new CrashWatch(now::get, new HttpClient(group.next()));
+    private final CrashDetector crashes = new CrashDetector(now::get, new HttpClient(group.next()));
     private int turn;
     private final QuarantineFeed feed =
             new QuarantineFeed(crashes, store, name -> turn, now::get, () -> {});
@@ -122,7 +122,7 @@
     void aRequestThatWasAnsweredIsDeletedFromTheStoreAndNotTakenUpAgain() {
         feed.onAll(List.of(stored(Optional.of(CONTENT))));
         final Incarnation server = Incarnation.of(BackendServerId.of("i-1"));
-        crashes.onAcquittal(new Acquittal(CONTENT, Set.of(server)));
+        crashes.onClearedCrashes(new Acquittal(CONTENT, Set.of(server)));
         assertThat(crashes.quarantine().left(CONTENT)).isEmpty();
         feed.writeDue();
         assertThat(store.waiting()).hasSize(1);
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/RolloutAgesTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/RolloutAgesTest.java
@@ -14,7 +14,7 @@
 import org.fennelstage.canary.RolloutAge;
 import org.fennelstage.canary.RolloutOrder;
 import org.fennelstage.canary.RolloutPhase;
-import org.fennelstage.gateway.Beliefs;
+import org.fennelstage.gateway.GatewayState;
 import org.fennelstage.history.Position;
 import org.fennelstage.id.ServiceName;
 import org.junit.jupiter.api.Test;
@@ -28,7 +28,7 @@
     private List<InetSocketAddress> others = List.of();
 
     private final class Vm {
-        private final Beliefs beliefs = new Beliefs(now::get, TestBounds.BOUNDS);
+        private final GatewayState beliefs = new GatewayState(now::get, TestBounds.BOUNDS);
         private final RolloutAges ages =
                 new RolloutAges(
                         beliefs, () -> others, (message, to) -> told.add(message), new Random(7));
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/RolloutFeedTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/RolloutFeedTest.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.fennelstage.canary.RolloutOrder;
 import org.fennelstage.canary.RolloutPhase;
-import org.fennelstage.gateway.Beliefs;
+import org.fennelstage.gateway.GatewayState;
 import org.fennelstage.history.Position;
 import org.fennelstage.id.BackendServerId;
 import org.fennelstage.id.ServiceName;
@@ -24,7 +24,7 @@
     private static final ServiceName MODELS = ServiceName.of("models");
 
     private final AtomicLong now = new AtomicLong(1_000_000);
-    private final Beliefs beliefs = new Beliefs(now::get, TestBounds.BOUNDS);
+    private final GatewayState beliefs = new GatewayState(now::get, TestBounds.BOUNDS);
     private final ManualStore store = new ManualStore();
 
     private RolloutFeed feedWithTurn(final int turn) {
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/ServerFeedTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/ServerFeedTest.java
@@ -8,7 +8,7 @@
 import org.fennelstage.fleet.Incarnation;
 import org.fennelstage.fleet.ServerAddress;
 import org.fennelstage.fleet.ServerEntry;
-import org.fennelstage.gateway.Beliefs;
+import org.fennelstage.gateway.GatewayState;
 import org.fennelstage.history.Position;
 import org.fennelstage.id.BackendServerId;
 import org.fennelstage.id.DataCentreId;
@@ -21,7 +21,7 @@
     private static final ServiceName MODELS = ServiceName.of("models");
 
     private final AtomicLong now = new AtomicLong(1_000_000);
-    private final Beliefs beliefs = new Beliefs(now::get, TestBounds.BOUNDS);
+    private final GatewayState beliefs = new GatewayState(now::get, TestBounds.BOUNDS);
     private final ServerFeed feed = new ServerFeed(beliefs, () -> {});
 
     private static StoredValue<ServerEntry> entry(final String id) {
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/StoreReturnTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/StoreReturnTest.java
@@ -32,7 +32,7 @@
 import org.fennelstage.fleet.ServerAddress;
 import org.fennelstage.fleet.ServerEntry;
 import org.fennelstage.fleet.TrackedServer;
-import org.fennelstage.gateway.Beliefs;
+import org.fennelstage.gateway.GatewayState;
 import org.fennelstage.history.Position;
 import org.fennelstage.id.BackendServerId;
 import org.fennelstage.id.DataCentreId;
@@ -67,7 +67,7 @@
         private final Random random;
         private final AtomicLong now = new AtomicLong(1_000_000);
         private final EmbeddedChannel channel = new EmbeddedChannel();
-        private final Beliefs beliefs = new Beliefs(now::get, TestBounds.BOUNDS);
+        private final GatewayState beliefs = new GatewayState(now::get, TestBounds.BOUNDS);
         private final ModelStore store = new ModelStore();
         private final ServerFeed servers = new ServerFeed(beliefs, () -> {});
         private final RolloutFeed rollouts =
@@ -114,7 +114,7 @@
                     new Follower<>(loop, store, StoreKind.ROLLOUTS, pace, random, eras, rollouts);
             final Follower<ServerEntry> entries =
                     new Follower<>(loop, store, StoreKind.SERVERS, pace, random, eras, servers);
-            beliefs.onOrdersWanted(orders::refresh);
+            beliefs.onOrdersNeeded(orders::refresh);
             configurations.start();
             orders.start();
             entries.start();
@@ -284,7 +284,7 @@
             channel.advanceTimeBy(STEP_MILLIS, TimeUnit.MILLISECONDS);
             channel.runScheduledPendingTasks();
             servers.dropLapsed();
-            beliefs.settle();
+            beliefs.checkRestoreGrace();
             rollouts.writeDue();
             while (store.deliver(random)) {
                 check();
