--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Attempt.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Attempt.java
@@ -20,50 +20,52 @@
 import org.fennelstage.policy.Mechanism;
 
 /**
- * One attempt of a request at one worker.
+ * One attempt of a request at one backend server.
  *
- * <p>Invariants: it reports exactly one end to its run, or none if it was cancelled; the worker's
- * count of running requests falls by one with it. Confined to the event loop.
+ * <p>Invariant: it reports exactly one end to its {@link RequestExecution}, or none if it was
+ * cancelled, and reduces the backend server's count of running requests exactly once.
+ *
+ * <p>Not thread-safe; confined to the event loop.
  */
 final class Attempt implements ResponseListener {
 
     /**
-     * The longest wait for a connection. A worker in the same region answers in milliseconds; one
-     * that does not in this time is cut off or stopped, and another can still meet the objective.
+     * Connect timeout, short enough that another backend server can still meet the latency
+     * objective.
      */
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(200);
 
     /**
-     * A request that must not be repeated goes out on a connection of its own. Servers drop
-     * connections that rest, some after 300 ms and without a word; a request that is sent on one is
-     * lost, and nobody can tell whether it ran. A new connection costs a millisecond.
+     * Requests that must not be retried use a new connection: a backend server may close an idle
+     * one at any time, and then it is unknown whether the request ran.
      */
-    private static final Duration MAX_IDLE_AT_MOST_ONCE = Duration.ZERO;
+    private static final Duration MAX_IDLE_NON_RETRYABLE = Duration.ZERO;
 
-    /** The run's own deadline ends an attempt; this only frees a connection that it missed. */
-    private static final Duration BEYOND_DEADLINE = Duration.ofMillis(500);
+    /**
+     * The deadline of the request normally ends an attempt; this margin only frees a connection
+     * that was missed.
+     */
+    private static final Duration DEADLINE_MARGIN = Duration.ofMillis(500);
 
     /**
-     * Silence after which a request is ended whose worker has started again under its id;
-     * milliseconds. The news comes some 250 ms after the start, and a request sent in between is at
-     * the new life: it has its bytes sooner than this, or is sent again.
+     * Inactivity after which an attempt at a restarted backend server fails; milliseconds. Longer
+     * than a response of the new incarnation takes to start, since the attempt may have reached
+     * that one.
      */
-    private static final long FORMER_LIFE_MILLIS = 500;
+    private static final long RESTART_GRACE_MILLIS = 500;
 
-    private static final Duration MAX_IDLE_REPEATABLE = Duration.ofSeconds(4);
+    private static final Duration MAX_IDLE_RETRYABLE = Duration.ofSeconds(4);
 
     /**
-     * How long a new connection stands before a request goes out on it that must not be repeated.
-     * The reset of a worker that accepts no further connection comes a way there and back after the
-     * connection, 2 ms between data centres of a region, and its own millisecond; a tenth of what
-     * such a request takes at its worker.
+     * How long a new connection is kept open before a request that must not be retried is sent on
+     * it, so that the reset of a backend server at its connection limit arrives first.
      */
-    private static final Duration SETTLING_AT_MOST_ONCE = Duration.ofMillis(5);
+    private static final Duration FIRST_USE_DELAY_NON_RETRYABLE = Duration.ofMillis(5);
 
-    private final RequestRun run;
+    private final RequestExecution execution;
     private final TrackedServer server;
-    private final Pace pace;
-    private final long readMillis;
+    private final Pace latencyEstimator;
+    private final long prefillMillis;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private final EventSplitter events = new EventSplitter(this::onEvent);
     private Optional<ResponseHead> head = Optional.empty();
@@ -73,68 +75,76 @@
     private long headMillis;
     private long firstEventMillis;
     private int eventCount;
-    private boolean read;
+    private boolean promptRead;
     private boolean flowing;
-    private boolean brokenNoted;
+    private boolean brokenReported;
     private boolean ended;
 
     Attempt(
-            final RequestRun run,
+            final RequestExecution execution,
             final TrackedServer server,
-            final Pace pace,
-            final long readMillis) {
-        this.run = run;
+            final Pace latencyEstimator,
+            final long prefillMillis) {
+        this.execution = execution;
         this.server = server;
-        this.pace = pace;
-        this.readMillis = readMillis;
+        this.latencyEstimator = latencyEstimator;
+        this.prefillMillis = prefillMillis;
     }
 
-    void send(final AttemptMetadata dispatch) {
-        server.begin(readMillis);
+    void send(final AttemptMetadata metadata) {
+        server.begin(prefillMillis);
         sentMillis = now();
         final CallOptions options =
                 new CallOptions(
                         CONNECT_TIMEOUT,
-                        dispatch.remaining().plus(BEYOND_DEADLINE),
-                        connectionUse(),
-                        headers -> codec().matchesRequest(headers, run.request().id()));
+                        metadata.remaining().plus(DEADLINE_MARGIN),
+                        connectionPolicy(),
+                        headers -> codec().matchesRequest(headers, execution.request().id()));
         call =
-                run.gateway()
+                execution
+                        .gateway()
                         .client()
                         .send(
                                 Sockets.address(server.entry().address()),
-                                codec().encode(run.request(), dispatch),
+                                codec().encode(execution.request(), metadata),
                                 options,
                                 this);
         lastByteMillis = sentMillis;
-        run.gateway().attempts().add(this);
+        execution.gateway().attempts().add(this);
     }
 
-    private ConnectionUse connectionUse() {
-        final int mostIdle = run.gateway().beliefs().connectionShare(run.service()).mostIdle();
-        return run.route().repeatable()
-                ? new ConnectionUse(MAX_IDLE_REPEATABLE, mostIdle, Duration.ZERO)
-                : new ConnectionUse(MAX_IDLE_AT_MOST_ONCE, mostIdle, SETTLING_AT_MOST_ONCE);
+    private ConnectionUse connectionPolicy() {
+        final int maxIdleConnections =
+                execution.gateway().state().connectionShare(execution.service()).mostIdle();
+        return execution.route().repeatable()
+                ? new ConnectionUse(MAX_IDLE_RETRYABLE, maxIdleConnections, Duration.ZERO)
+                : new ConnectionUse(
+                        MAX_IDLE_NON_RETRYABLE, maxIdleConnections, FIRST_USE_DELAY_NON_RETRYABLE);
     }
 
-    RequestRun run() {
-        return run;
+    RequestExecution execution() {
+        return execution;
     }
 
-    /** Ends the attempt: the worker sees its connection close and drops the request. */
+    /**
+     * Cancels the attempt: closes its connection, upon which the backend server drops the request.
+     */
     void cancel() {
         if (release()) {
             call.cancel();
         }
     }
 
-    /** Stops or resumes reading, as the caller takes the bytes. */
+    /** Pauses or resumes reading, for backpressure from the caller. */
     void pause(final boolean pause) {
         call.pause(pause);
         setFlowing(!pause);
     }
 
-    /** A paused answer says nothing of its worker: its bytes wait unread on this VM. */
+    /**
+     * Excludes a paused response from the detection of inactivity, since its bytes wait unread on
+     * this VM.
+     */
     private void setFlowing(final boolean nowFlowing) {
         if (flowing == nowFlowing || (nowFlowing && (ended || head.isEmpty()))) {
             return;
@@ -151,24 +161,24 @@
     @Override
     public void onHead(final int status, final HttpHeaders headers) {
         onByte();
-        noteRead();
-        pace.onFirstByte(now() - sentMillis, promptTokens());
+        markPromptRead();
+        latencyEstimator.onFirstByte(now() - sentMillis, promptTokens());
         final ResponseHead decoded = codec().decodeResponse(status, headers);
         head = Optional.of(decoded);
-        noteOwnWord(decoded);
+        applyServerState(decoded);
         headMillis = now();
         setFlowing(true);
-        if (decoded.isSuccess() && run.dropped(decoded)) {
-            noteHealth(false);
+        if (decoded.isSuccess() && execution.dropResponse(decoded)) {
+            recordHealth(false);
         }
     }
 
-    /** Takes what the worker says of itself beside its answer. */
-    private void noteOwnWord(final ResponseHead decoded) {
+    /** Applies what the backend server reports of its own state with the response. */
+    private void applyServerState(final ResponseHead decoded) {
         if (decoded.draining()) {
-            run.gateway().onLeaving(server);
+            execution.gateway().onServerDraining(server);
         }
-        decoded.rejectsFor().ifPresent(time -> run.gateway().onTurnedAway(server, time));
+        decoded.rejectsFor().ifPresent(time -> execution.gateway().onRejecting(server, time));
     }
 
     @Override
@@ -177,7 +187,7 @@
             return;
         }
         onByte();
-        if (streams()) {
+        if (isStreaming()) {
             events.feed(content);
         } else {
             body.writeBytes(ByteBufUtil.getBytes(content));
@@ -186,48 +196,50 @@
 
     @Override
     public void onEnd() {
-        final ResponseHead answer = head.orElseThrow();
-        switch (answer.trust()) {
-            case REJECTED -> onRejected(answer);
-            case UNSIGNED -> fail(AttemptEnd.UNKNOWN, "unsigned answer " + answer.status());
-            case SIGNED -> onSigned(answer);
+        final ResponseHead response = head.orElseThrow();
+        switch (response.trust()) {
+            case REJECTED -> onRejected(response);
+            case UNSIGNED -> fail(AttemptEnd.UNKNOWN, "unsigned response " + response.status());
+            case SIGNED -> onSigned(response);
         }
     }
 
     @Override
     public void onFailure(final CallFailure failure) {
         if (failure.notSent()) {
-            // A worker that turns a connection away has as many as it accepts, and is well.
+            // A backend server that rejects a connection is healthy and at its connection limit.
             if (failure.phase() == CallFailure.Phase.NOT_SENT) {
-                run.gateway().onUnreachable(server);
+                execution.gateway().onUnreachable(server);
             }
             fail(AttemptEnd.NOT_SENT, failure.detail());
         } else {
             if (!failure.keptConnection()) {
-                noteHealth(true);
+                recordHealth(true);
             }
-            noteBroken();
-            final String begun = head.isEmpty() ? "" : ", began " + begunMillis() + " ms before";
-            fail(AttemptEnd.UNKNOWN, failure.phase() + ": " + failure.detail() + begun);
+            reportBroken();
+            final String startedBefore =
+                    head.isEmpty() ? "" : ", response started " + millisSinceHead() + " ms before";
+            fail(AttemptEnd.UNKNOWN, failure.phase() + ": " + failure.detail() + startedBefore);
         }
     }
 
     /**
-     * The worker may have ended, and if its answer had just begun, by this request. Noted once: an
-     * attempt that stays at a silent worker would have it looked at several times a second.
+     * Reports that the backend server may have crashed because of this request. Done once per
+     * attempt, since each report probes the backend server.
      */
-    private void noteBroken() {
-        if (brokenNoted) {
+    private void reportBroken() {
+        if (brokenReported) {
             return;
         }
-        brokenNoted = true;
-        if (head.isEmpty() || lastByteMillis - headMillis < CrashDetector.SUSPECT_MILLIS) {
-            run.gateway().crashes().onBroken(server, run.content());
+        brokenReported = true;
+        if (head.isEmpty()
+                || lastByteMillis - headMillis < CrashDetector.MAX_SUSPECT_RESPONSE_MILLIS) {
+            execution.gateway().crashes().onBrokenResponse(server, execution.fingerprint());
         }
     }
 
-    /** Time since the worker began to answer. */
-    private long begunMillis() {
+    /** Returns the time since the backend server started to respond; milliseconds. */
+    private long millisSinceHead() {
         return now() - headMillis;
     }
 
@@ -237,100 +249,107 @@
     }
 
     /**
-     * Looks for a worker that neither answers nor closes its connection; called several times a
-     * second. A timer set when the request was sent would be as patient with a begun stream as with
-     * a long prompt: a stream cut off right after its first event was noticed six seconds late.
+     * Fails the attempt if the backend server neither responds nor closes its connection. To be
+     * called several times a second. The timeout differs before and after the head of the response.
      */
     void checkInactivity() {
         if (ended || isPaused()) {
             return;
         }
-        if (server.hasEnded() && now() - lastByteMillis >= FORMER_LIFE_MILLIS) {
-            endWithFormerLife();
+        if (server.hasEnded() && now() - lastByteMillis >= RESTART_GRACE_MILLIS) {
+            failAfterRestart();
             return;
         }
-        final Silence silence =
+        final Silence inactivity =
                 new Silence(
                         now() - lastByteMillis,
                         server.health().silentMillis(),
                         server.stalledMillis(),
-                        watchesTogether() ? server.begunAnswers() : 0);
-        if (!silence.exceeds(patienceMillis())) {
+                        usesStallDetection() ? server.begunAnswers() : 0);
+        if (!inactivity.exceeds(inactivityTimeoutMillis())) {
             return;
         }
         final String detail =
                 server.entry().id()
                         + " silent for "
-                        + silence.serverMillis()
-                        + " ms, own "
-                        + silence.ownMillis()
-                        + " ms, answers "
-                        + silence.begunAnswers();
-        noteBroken();
-        run.gateway().onSilent(server);
-        run.onSilent(detail);
-    }
-
-    /** The request may have run in the former life; its answer will not come. */
-    private void endWithFormerLife() {
+                        + inactivity.serverMillis()
+                        + " ms, this request "
+                        + inactivity.ownMillis()
+                        + " ms, responses started "
+                        + inactivity.begunAnswers();
+        reportBroken();
+        execution.gateway().onInactive(server);
+        execution.onInactive(detail);
+    }
+
+    /** The request may have run in the previous incarnation; no response will arrive. */
+    private void failAfterRestart() {
         call.cancel();
-        fail(AttemptEnd.UNKNOWN, "started again");
+        fail(AttemptEnd.UNKNOWN, "server restarted");
     }
 
-    private boolean watchesTogether() {
-        return run.gateway().policy().uses(Mechanism.STALL_WATCH);
+    private boolean usesStallDetection() {
+        return execution.gateway().policy().uses(Mechanism.STALL_WATCH);
     }
 
     private boolean isPaused() {
         return head.isPresent() && !flowing;
     }
 
-    private long patienceMillis() {
+    private long inactivityTimeoutMillis() {
         return head.isEmpty()
-                ? pace.firstBytePatience(promptTokens())
-                : pace.nextBytePatience(run.route().maxPause().toMillis());
+                ? latencyEstimator.firstBytePatience(promptTokens())
+                : latencyEstimator.nextBytePatience(execution.route().maxPause().toMillis());
     }
 
     private int promptTokens() {
-        return run.request().prompt().map(Prompt::promptTokens).orElse(0);
+        return execution.request().prompt().map(Prompt::promptTokens).orElse(0);
     }
 
-    private void onRejected(final ResponseHead answer) {
-        fail(AttemptEnd.REJECTED, "rejected with " + answer.status());
+    private void onRejected(final ResponseHead response) {
+        fail(AttemptEnd.REJECTED, "rejected with " + response.status());
     }
 
-    private void onSigned(final ResponseHead answer) {
-        final boolean failed = answer.isServerFailure();
-        noteHealth(failed);
-        pace.onEnd(now() - sentMillis);
-        run.canary().onAnswer(server.entry().id(), server.entry().version(), failed, paceMillis());
+    private void onSigned(final ResponseHead response) {
+        final boolean failed = response.isServerFailure();
+        recordHealth(failed);
+        latencyEstimator.onEnd(now() - sentMillis);
+        execution
+                .canary()
+                .onAnswer(server.entry().id(), server.entry().version(), failed, latencyMillis());
         if (failed) {
             final byte[] content = body.toByteArray();
-            fail(AttemptEnd.FAILED, "failed with " + answer.status(), () -> deliver(content));
-        } else if (!streams()) {
-            deliverNow(answer, body.toByteArray());
+            fail(
+                    AttemptEnd.FAILED,
+                    "failed with " + response.status(),
+                    () -> deliverFailure(content));
+        } else if (!isStreaming()) {
+            deliver(response, body.toByteArray());
         } else if (events.hasPartial()) {
             fail(AttemptEnd.UNKNOWN, "stream ended within an event");
         } else {
             release();
-            run.answer().end(answer);
-            run.onDelivered(answer);
+            execution.response().end(response);
+            execution.onDelivered(response);
         }
     }
 
-    /** Hands on a worker's own failure, unless the caller already has a part of a stream. */
-    private void deliver(final byte[] content) {
-        if (run.answer().started()) {
-            run.giveUp();
+    /**
+     * Forwards an error response of the backend server, unless the caller already has a part of a
+     * stream.
+     */
+    private void deliverFailure(final byte[] content) {
+        if (execution.response().started()) {
+            execution.giveUp();
             return;
         }
-        deliverNow(head.orElseThrow(), content);
+        deliver(head.orElseThrow(), content);
     }
 
-    private void deliverNow(final ResponseHead answer, final byte[] content) {
+    private void deliver(final ResponseHead response, final byte[] content) {
         release();
-        run.answer().whole(answer, content);
-        run.onDelivered(answer);
+        execution.response().complete(response, content);
+        execution.onDelivered(response);
     }
 
     private void onEvent(final byte[] event, final Optional<String> id) {
@@ -338,29 +357,27 @@
             firstEventMillis = now();
         }
         eventCount++;
-        if (!run.answer().event(head.orElseThrow(), event, id)) {
+        if (!execution.response().event(head.orElseThrow(), event, id)) {
             pause(true);
         }
     }
 
     private void fail(final AttemptEnd end, final String detail) {
-        fail(end, detail, run::giveUp);
+        fail(end, detail, execution::giveUp);
     }
 
-    private void fail(final AttemptEnd end, final String detail, final Runnable instead) {
+    private void fail(final AttemptEnd end, final String detail, final Runnable fallback) {
         if (release()) {
-            run.gateway().metrics().attempt(run.service().value(), end.name());
-            run.onFailed(end, server.entry().id() + " " + detail, instead);
+            execution.gateway().metrics().attempt(execution.service().value(), end.name());
+            execution.onFailed(end, server.entry().id() + " " + detail, fallback);
         }
     }
 
-    /**
-     * The worker has read the prompt, or will not read it: what is sent next does not wait for it.
-     */
-    private void noteRead() {
-        if (!read) {
-            read = true;
-            server.onRead(readMillis);
+    /** Marks the prompt as read, or as never to be read: later requests need not wait for it. */
+    private void markPromptRead() {
+        if (!promptRead) {
+            promptRead = true;
+            server.onRead(prefillMillis);
         }
     }
 
@@ -370,35 +387,39 @@
         }
         ended = true;
         setFlowing(false);
-        run.gateway().attempts().remove(this);
-        noteRead();
+        execution.gateway().attempts().remove(this);
+        markPromptRead();
         server.end();
         return true;
     }
 
-    private void noteHealth(final boolean failed) {
-        final UsualFailures usual = run.gateway().beliefs().usualFailures(run.route().name());
-        server.health().onEnd(failed, usual.share());
-        usual.onAnswer(failed);
+    private void recordHealth(final boolean failed) {
+        final UsualFailures baseline =
+                execution.gateway().state().baselineFailureRate(execution.route().name());
+        server.health().onEnd(failed, baseline.share());
+        baseline.onAnswer(failed);
     }
 
-    /** The time per event after the first; for a plain answer the whole time. */
-    private double paceMillis() {
-        if (!streams()) {
+    /**
+     * Returns the mean time per event after the first, 0 for fewer than three events; for a
+     * response that is not a stream the total time; milliseconds.
+     */
+    private double latencyMillis() {
+        if (!isStreaming()) {
             return now() - sentMillis;
         }
         return eventCount < 3 ? 0 : (now() - firstEventMillis) / (double) (eventCount - 1);
     }
 
-    private boolean streams() {
-        return run.isStream() && head.map(ResponseHead::isSuccess).orElse(false);
+    private boolean isStreaming() {
+        return execution.isStream() && head.map(ResponseHead::isSuccess).orElse(false);
     }
 
     private WireCodec codec() {
-        return run.gateway().codec();
+        return execution.gateway().codec();
     }
 
     private long now() {
-        return run.gateway().beliefs().clock().millis();
+        return execution.gateway().state().clock().millis();
     }
 }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/AttemptMetadata.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/AttemptMetadata.java
@@ -9,14 +9,14 @@
 import org.fennelstage.id.TeamId;
 
 /**
- * What goes to a worker beside the caller's own request. Immutable and thread-safe.
+ * Data sent to a backend server with the caller's request. Immutable and thread-safe.
  *
- * @param server the worker that is meant; any other rejects the request
- * @param remaining how long the worker may take
- * @param team the caller's team, empty if its route asks for no key
- * @param priority how urgent the request is, 0 first; empty if the worker is not told
- * @param model the model that the router chose, empty if the caller named it
- * @param lastEventId the event after which a stream goes on, empty for its begin
+ * @param server the target; any other backend server rejects the request
+ * @param remaining the time left until the deadline of the request
+ * @param team the caller's team, empty if the route requires no key
+ * @param priority the priority of the request, 0 is the highest; empty if none is sent
+ * @param model the model chosen by this VM, empty if the caller named it
+ * @param lastEventId the event after which a stream continues, empty to start from the beginning
  */
 public record AttemptMetadata(
         ServerEntry server,
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/CallerRequest.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/CallerRequest.java
@@ -8,20 +8,20 @@
 import org.fennelstage.placement.Prompt;
 
 /**
- * A caller's request, decoded. Immutable but for its headers and body, which nobody changes.
+ * A decoded request of a caller. Immutable except for the headers and the body, which must not be
+ * modified.
  *
- * @param id names this attempt of the caller; goes with the request to the worker and into each log
- *     line
+ * @param id the id of the request, sent to backend servers and written to each log event
  * @param method the HTTP method
  * @param uri path and query as received
  * @param host the host that the caller named
- * @param headers the headers that go on to the worker
+ * @param headers the headers to forward to a backend server
  * @param body the body
- * @param key the caller's key, empty if it sent none
- * @param deadline how long the caller waits, empty if it did not say
- * @param lastEventId the event of a stream after which to go on, empty for its begin
- * @param prompt what it asks of a model engine, empty if it does not say
- * @param session names the session to which it belongs, empty if to none
+ * @param key the caller's API key, empty if absent
+ * @param deadline how long the caller waits, empty if not given
+ * @param lastEventId the event after which a stream continues, empty to start from the beginning
+ * @param prompt the prompt for a model, empty if the request declares none
+ * @param session the session of the request, empty if it belongs to none
  */
 public record CallerRequest(
         String id,
@@ -46,7 +46,8 @@
     }
 
     /**
-     * Returns what the request asks and for whom, the same for each of its arrivals.
+     * Returns the fingerprint of host, URI, key and body. A retry by the caller has the same
+     * fingerprint.
      *
      * @return the fingerprint
      */
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/CallerAnswer.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/CallerResponse.java
@@ -6,30 +6,35 @@
 import org.fennelstage.http.ServerExchange;
 
 /**
- * What the caller has got of its answer.
+ * The response to the caller, as far as it has been sent.
  *
- * <p>A stream keeps the head of the first worker whose event reached the caller; later workers only
- * add events. Invariant: the caller sees whole events, each once, in order. Confined to the event
- * loop.
+ * <p>A stream keeps the head of the first backend server whose event reached the caller; later
+ * backend servers only add events.
+ *
+ * <p>Invariant: the caller receives whole events, each once and in order.
+ *
+ * <p>Not thread-safe; confined to the event loop.
  */
-final class CallerAnswer {
+final class CallerResponse {
 
     private final ServerExchange exchange;
     private final Runnable onFirstByte;
     private boolean started;
     private Optional<String> lastEventId = Optional.empty();
 
-    CallerAnswer(final ServerExchange exchange, final Runnable onFirstByte) {
+    CallerResponse(final ServerExchange exchange, final Runnable onFirstByte) {
         this.exchange = exchange;
         this.onFirstByte = onFirstByte;
     }
 
-    /** Tells whether the head of the answer has gone to the caller. */
+    /** Returns whether the head of the response has been sent. */
     boolean started() {
         return started;
     }
 
-    /** Returns the last event that the caller has, empty if it has none. */
+    /**
+     * Returns the id of the last event sent to the caller, empty if no event with an id was sent.
+     */
     Optional<String> lastEventId() {
         return lastEventId;
     }
@@ -37,10 +42,10 @@
     /**
      * Sends one event.
      *
-     * @param head the head of the worker's answer, used if the caller has none yet
-     * @param event the event with its blank line
-     * @param id its id, if it has one
-     * @return false if the caller reads more slowly than events come
+     * @param head the head of the backend server's response, used if none has been sent yet
+     * @param event the event including its blank line
+     * @param id the id of the event, if it has one
+     * @return false if the caller reads more slowly than events arrive
      */
     boolean event(final ResponseHead head, final byte[] event, final Optional<String> id) {
         start(head.status(), head.headers());
@@ -55,8 +60,8 @@
         exchange.end();
     }
 
-    /** Sends a whole answer. */
-    void whole(final ResponseHead head, final byte[] body) {
+    /** Sends a complete response. */
+    void complete(final ResponseHead head, final byte[] body) {
         started = true;
         onFirstByte.run();
         exchange.respond(head.status(), head.headers(), body);
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/CrashDetector.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/CrashDetector.java
@@ -21,57 +21,55 @@
 import org.fennelstage.time.MonotonicClock;
 
 /**
- * Finds the requests that end the workers that run them, and has them refused.
+ * Detects requests that crash backend servers, and quarantines them.
  *
- * <p>Taken for the worker's fault, the end of a worker is answered by sending the request to the
- * next one, which ends as well, with all that it runs; its caller asks again, at another VM, and
- * within a second most workers of a service are gone. One sees it by workers that end one after the
- * other, and by one content in all those breaks. So the ends under a content are counted over all
- * its arrivals and all VMs ({@link CrashLedger}), and from the third on it is refused everywhere
- * ({@link Quarantine}).
+ * <p>A retry of such a request crashes the next backend server with everything it runs. Therefore
+ * crashes are counted per fingerprint over all requests and all VMs ({@link CrashLedger}), and from
+ * the third crash on the request is rejected by all VMs ({@link Quarantine}).
  *
- * <p>A broken connection or silence alone is no end: workers lose answers and drop connections, and
- * links break. The worker is looked at; it has ended if nobody listens there any more, or if it
- * alone of its data centre does not answer. Confined to the event loop.
+ * <p>A broken connection or inactivity alone does not prove a crash. The backend server is probed;
+ * it has crashed if its port refuses connections, or if it is the only one of its data centre that
+ * does not respond.
+ *
+ * <p>Not thread-safe; confined to the event loop.
  */
 public final class CrashDetector {
 
     /**
-     * A worker that answers for longer than this before it ends was not ended by that answer's
-     * request; milliseconds. Those that end their worker do so a moment after it begins to run
-     * them; the rest is for a VM that reads late.
+     * How long a response may last before its backend server crashes for the request still to be
+     * suspected of the crash; milliseconds.
      */
-    static final long SUSPECT_MILLIS = 2_000;
+    static final long MAX_SUSPECT_RESPONSE_MILLIS = 2_000;
 
-    /** A machine in the same region answers in milliseconds, also where nobody listens. */
+    /** Timeout of a probe; also a closed port responds within milliseconds. */
     private static final Duration PROBE_TIMEOUT = Duration.ofMillis(200);
 
-    /** When a request may come back while it is not known yet whether its workers have ended. */
-    private static final Duration UNTIL_DECIDED = PROBE_TIMEOUT.multipliedBy(2);
+    /** Retry time of a request while probes decide whether its backend servers have crashed. */
+    private static final Duration PROBE_RETRY_AFTER = PROBE_TIMEOUT.multipliedBy(2);
 
     /**
-     * The probe's connection may carry the next request. It must stand for a moment: a process that
-     * ends may close its connections before it stops to listen, and takes a last one meanwhile.
+     * A connection opened by a probe may carry the next request. The delay before its first use
+     * guards against a crashing process that still accepts a connection.
      */
-    private static final ConnectionUse KEPT =
+    private static final ConnectionUse PROBE_CONNECTION =
             new ConnectionUse(Duration.ofSeconds(4), 1, Duration.ofMillis(50));
 
     private final HttpClient client;
     private final CrashLedger ledger;
     private final Quarantine quarantine;
-    private final BrokenRuns broken = BrokenRuns.empty();
-    private Consumer<TrackedServer> endListener = server -> {};
-    private Consumer<Fingerprint> quarantineListener = content -> {};
+    private final BrokenRuns suspected = BrokenRuns.empty();
+    private Consumer<TrackedServer> crashListener = server -> {};
+    private Consumer<Fingerprint> quarantineListener = fingerprint -> {};
     private Consumer<CrashReport> reportListener = report -> {};
-    private Consumer<Acquittal> acquittalListener = acquittal -> {};
+    private Consumer<Acquittal> clearedListener = cleared -> {};
     private Runnable storeListener = () -> {};
-    private Consumer<Fingerprint> liftedListener = content -> {};
+    private Consumer<Fingerprint> quarantineLiftedListener = fingerprint -> {};
 
     /**
-     * Creates a watch that knows of no ends.
+     * Creates a detector without known crashes.
      *
      * @param clock the clock
-     * @param client calls workers
+     * @param client opens connections to backend servers
      */
     public CrashDetector(final MonotonicClock clock, final HttpClient client) {
         this.client = Objects.requireNonNull(client, "client is null");
@@ -80,7 +78,7 @@
     }
 
     /**
-     * Returns the requests that are refused.
+     * Returns the quarantined requests.
      *
      * @return the quarantine
      */
@@ -89,71 +87,76 @@
     }
 
     /**
-     * Sets who tells the other VMs what this one finds.
+     * Sets the listeners that notify the other VMs.
      *
-     * @param reports takes the ends of workers
-     * @param acquittals takes the requests that were answered after all
+     * @param reports receives crashes of backend servers
+     * @param cleared receives requests that got a response, with the crashes that no longer count
+     *     against them
      */
-    public void onDetected(
-            final Consumer<CrashReport> reports, final Consumer<Acquittal> acquittals) {
+    public void onDetected(final Consumer<CrashReport> reports, final Consumer<Acquittal> cleared) {
         reportListener = Objects.requireNonNull(reports, "reports is null");
-        acquittalListener = Objects.requireNonNull(acquittals, "acquittals is null");
+        clearedListener = Objects.requireNonNull(cleared, "cleared is null");
     }
 
     /**
-     * Sets what notes a request for VMs that start later. It runs at once when one is refused: a VM
-     * that starts within the next tenth of a second would not know it.
+     * Sets the listener that writes the quarantine to the store for VMs that start later. It runs
+     * at once when a request is quarantined.
      *
-     * @param listener notes what {@link #quarantine()} holds
+     * @param listener writes the contents of {@link #quarantine()}
      */
     public void onQuarantined(final Runnable listener) {
         storeListener = Objects.requireNonNull(listener, "listener is null");
     }
 
     /**
-     * Sets what notes in the store that a request is refused no longer, since it was answered.
+     * Sets the listener for requests whose quarantine ended because they got a response.
      *
-     * @param listener takes the request
+     * @param listener receives the fingerprint
      */
     public void onLifted(final Consumer<Fingerprint> listener) {
-        liftedListener = Objects.requireNonNull(listener, "listener is null");
+        quarantineLiftedListener = Objects.requireNonNull(listener, "listener is null");
     }
 
-    /** Sets what runs when a worker has ended, and when a request is refused from now on. */
-    void onDecided(final Consumer<TrackedServer> ends, final Consumer<Fingerprint> quarantined) {
-        endListener = Objects.requireNonNull(ends, "ends is null");
+    /** Sets the listeners for crashes of backend servers and for newly quarantined requests. */
+    void setListeners(
+            final Consumer<TrackedServer> crashes, final Consumer<Fingerprint> quarantined) {
+        crashListener = Objects.requireNonNull(crashes, "crashes is null");
         quarantineListener = Objects.requireNonNull(quarantined, "quarantined is null");
     }
 
     /**
-     * Tells for how long a request is to be refused.
+     * Returns how long a request is to be rejected.
      *
-     * @param content the request
-     * @return the time, empty if it may be sent
+     * @param fingerprint the request
+     * @return the time, empty if the request may be sent
      */
-    Optional<Duration> refusal(final Fingerprint content) {
-        final Optional<Duration> left = quarantine.left(content);
-        if (left.isPresent()) {
-            return left;
+    Optional<Duration> rejectionTime(final Fingerprint fingerprint) {
+        final Optional<Duration> remaining = quarantine.left(fingerprint);
+        if (remaining.isPresent()) {
+            return remaining;
         }
-        final int ends = ledger.crashes(content) + broken.count(content);
-        return ends >= CrashLedger.MOST_CRASHES ? Optional.of(UNTIL_DECIDED) : Optional.empty();
+        final int crashes = ledger.crashes(fingerprint) + suspected.count(fingerprint);
+        return crashes >= CrashLedger.MOST_CRASHES
+                ? Optional.of(PROBE_RETRY_AFTER)
+                : Optional.empty();
     }
 
-    /**
-     * Notes that a request's answer broke off or fell silent before it began, or a moment after.
-     */
-    void onBroken(final TrackedServer server, final Fingerprint content) {
-        if (broken.add(server.entry().incarnation(), content)) {
+    /** Handles a response that broke off or became inactive before its start or shortly after. */
+    void onBrokenResponse(final TrackedServer server, final Fingerprint fingerprint) {
+        if (suspected.add(server.entry().incarnation(), fingerprint)) {
             probe(server, result -> onFirstProbe(server, result));
         }
     }
 
     private void probe(final TrackedServer server, final Consumer<ProbeResult> result) {
-        client.probe(Sockets.address(server.entry().address()), PROBE_TIMEOUT, KEPT, result);
+        client.probe(
+                Sockets.address(server.entry().address()), PROBE_TIMEOUT, PROBE_CONNECTION, result);
     }
 
-    /** One that turned the connection away is full or about to end; a second look tells. */
+    /**
+     * Probes a second time if the connection was closed at once: the backend server is at its
+     * connection limit or about to crash.
+     */
     private void onFirstProbe(final TrackedServer server, final ProbeResult result) {
         if (result == ProbeResult.TURNED_AWAY) {
             probe(server, second -> onProbed(server, second));
@@ -164,7 +167,7 @@
 
     private void onProbed(final TrackedServer server, final ProbeResult result) {
         final Incarnation incarnation = server.entry().incarnation();
-        final Set<Fingerprint> contents = broken.take(incarnation);
+        final Set<Fingerprint> fingerprints = suspected.take(incarnation);
         EventLog.write(
                 Event.SERVER_PROBED,
                 "server",
@@ -172,102 +175,104 @@
                 "result",
                 result,
                 "requests",
-                contents.size());
-        final boolean aloneSilent =
+                fingerprints.size());
+        final boolean onlyServerSilent =
                 result == ProbeResult.SILENT && server.health().isDataCentreHeard();
-        if (result != ProbeResult.REFUSED && !aloneSilent) {
+        if (result != ProbeResult.REFUSED && !onlyServerSilent) {
             return;
         }
-        endListener.accept(server);
-        final CrashReport report = new CrashReport(incarnation, contents);
+        crashListener.accept(server);
+        final CrashReport report = new CrashReport(incarnation, fingerprints);
         onReport(report);
         reportListener.accept(report);
     }
 
     /**
-     * Takes the end of a worker, as this VM or another saw it.
+     * Records a crash of a backend server that this VM or another one detected.
      *
-     * @param report the end
+     * @param report the crash
      */
     public void onReport(final CrashReport report) {
-        for (final Fingerprint content : report.contents()) {
-            final int ends = ledger.onCrash(content, report.server());
-            if (ends > 1) {
+        for (final Fingerprint fingerprint : report.contents()) {
+            final int crashes = ledger.onCrash(fingerprint, report.server());
+            if (crashes > 1) {
                 EventLog.write(
                         Event.REQUEST_SUSPECTED,
                         "content",
-                        content,
+                        fingerprint,
                         "server",
                         report.server(),
                         "ends",
-                        ends);
+                        crashes);
             }
-            if (ends >= CrashLedger.MOST_CRASHES) {
-                quarantine(content, "ends of servers");
+            if (crashes >= CrashLedger.MOST_CRASHES) {
+                quarantine(fingerprint, "server crashes");
             }
         }
     }
 
-    /** Notes that a request was answered, which no request does that ends its workers. */
-    void onAnswered(final Fingerprint content) {
-        final Set<Incarnation> cleared = ledger.onAnswered(content);
+    /**
+     * Clears a request that got a response, since a request that crashes backend servers gets none.
+     */
+    void onResponse(final Fingerprint fingerprint) {
+        final Set<Incarnation> cleared = ledger.onAnswered(fingerprint);
         if (!cleared.isEmpty()) {
-            acquittalListener.accept(new Acquittal(content, cleared));
-            lift(content);
+            clearedListener.accept(new Acquittal(fingerprint, cleared));
+            liftQuarantine(fingerprint);
         }
     }
 
     /**
-     * Serves a request again that was answered after all: copies of it were under way when the
-     * third worker ended, and a wave of crashes hits sound requests as well.
+     * Ends the quarantine of a request that got a response: it was hit by crashes that it did not
+     * cause.
      */
-    private void lift(final Fingerprint content) {
-        if (quarantine.release(content)) {
-            EventLog.write(Event.QUARANTINE_OVER, "content", content, "source", "answer");
-            liftedListener.accept(content);
+    private void liftQuarantine(final Fingerprint fingerprint) {
+        if (quarantine.release(fingerprint)) {
+            EventLog.write(Event.QUARANTINE_OVER, "content", fingerprint, "source", "answer");
+            quarantineLiftedListener.accept(fingerprint);
         }
     }
 
     /**
-     * Takes the word of another VM that a request was answered.
+     * Clears a request that got a response at another VM.
      *
-     * @param acquittal the request, and the ends that count no longer against it
+     * @param cleared the request, and the crashes that no longer count against it
      */
-    public void onClearedCrashes(final Acquittal acquittal) {
-        ledger.clear(acquittal);
-        lift(acquittal.content());
+    public void onClearedCrashes(final Acquittal cleared) {
+        ledger.clear(cleared);
+        liftQuarantine(cleared.content());
     }
 
     /**
-     * Refuses a request from now on.
+     * Quarantines a request.
      *
-     * @param content the request
-     * @param source who found it, for the log
+     * @param fingerprint the request
+     * @param source where the decision comes from, for the log
      */
-    public void quarantine(final Fingerprint content, final String source) {
-        if (quarantine.add(content)) {
+    public void quarantine(final Fingerprint fingerprint, final String source) {
+        if (quarantine.add(fingerprint)) {
             EventLog.write(
                     Event.REQUEST_QUARANTINED,
                     "content",
-                    content,
+                    fingerprint,
                     "source",
                     source,
                     "for_s",
                     Quarantine.LIFETIME.toSeconds());
-            quarantineListener.accept(content);
+            quarantineListener.accept(fingerprint);
             storeListener.run();
         }
     }
 
     /**
-     * Refuses a request no longer; the ends known so far count against it no more.
+     * Ends the quarantine of a request; the crashes known so far no longer count against it.
      *
-     * @param content the request
+     * @param fingerprint the request
      */
-    public void release(final Fingerprint content) {
-        ledger.onAnswered(content);
-        if (quarantine.release(content)) {
-            EventLog.write(Event.QUARANTINE_OVER, "content", content, "source", "store");
+    public void release(final Fingerprint fingerprint) {
+        ledger.onAnswered(fingerprint);
+        if (quarantine.release(fingerprint)) {
+            EventLog.write(Event.QUARANTINE_OVER, "content", fingerprint, "source", "store");
         }
     }
 }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/EventSplitter.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/EventSplitter.java
@@ -7,13 +7,15 @@
 import java.util.function.BiConsumer;
 
 /**
- * Cuts a stream of bytes into whole server-sent events.
+ * Splits a byte stream into whole server-sent events.
  *
- * <p>A worker may stop in the middle of an event. Had its first half gone to the caller, no other
- * worker could go on: the caller would see an event twice or torn. So only whole events leave here.
+ * <p>Only whole events are emitted, so that a stream can be resumed on another backend server if
+ * one fails in the middle of an event.
  *
- * <p>Law: the events, joined, are the bytes fed so far but for a tail without its blank line. Not
- * thread-safe.
+ * <p>Invariant: the concatenated events equal the bytes fed so far, except for an unterminated
+ * tail.
+ *
+ * <p>Not thread-safe.
  */
 final class EventSplitter {
 
@@ -30,23 +32,23 @@
     /**
      * Creates a splitter.
      *
-     * @param onEvent takes each whole event and its id
+     * @param onEvent receives each whole event and its id
      */
     EventSplitter(final BiConsumer<byte[], Optional<String>> onEvent) {
         this.onEvent = onEvent;
     }
 
     void feed(final ByteBuf bytes) {
-        final int more = bytes.readableBytes();
-        if (length + more > pending.length) {
-            pending = Arrays.copyOf(pending, Math.max(pending.length * 2, length + more));
+        final int added = bytes.readableBytes();
+        if (length + added > pending.length) {
+            pending = Arrays.copyOf(pending, Math.max(pending.length * 2, length + added));
         }
-        bytes.getBytes(bytes.readerIndex(), pending, length, more);
-        length += more;
+        bytes.getBytes(bytes.readerIndex(), pending, length, added);
+        length += added;
         scan();
     }
 
-    /** Tells whether bytes of an unfinished event are held. */
+    /** Returns whether an unfinished event is buffered. */
     boolean hasPartial() {
         return length > 0;
     }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Gateway.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Gateway.java
@@ -25,13 +25,14 @@
 import org.fennelstage.serving.TeamAccess;
 
 /**
- * Takes callers' requests: finds the route and the team, or answers at once why not.
+ * Handles callers' requests: finds the route and the team, or responds with an error.
  *
- * <p>Confined to one event loop, on which all connections of callers and workers run.
+ * <p>Not thread-safe; confined to the event loop, on which all connections of callers and backend
+ * servers run.
  */
 public final class Gateway implements RequestHandler {
 
-    private final GatewayState beliefs;
+    private final GatewayState state;
     private final WireCodec codec;
     private final HttpClient client;
     private final Placement placement;
@@ -40,39 +41,39 @@
     private final Policy policy;
     private final CrashDetector crashes;
     private Consumer<Incarnation> unreachableListener = id -> {};
-    private Consumer<Incarnation> leavingListener = id -> {};
+    private Consumer<Incarnation> drainingListener = id -> {};
     private final Set<Attempt> attempts = new LinkedHashSet<>();
     private int inFlight;
 
     /**
      * Creates a gateway.
      *
-     * @param beliefs what the VM believes
-     * @param codec translates the wire
-     * @param client calls workers
-     * @param placement chooses workers
-     * @param random draws among a route's services
-     * @param metrics counts
+     * @param state what this VM knows of the fleet
+     * @param codec translates the wire format
+     * @param client sends requests to backend servers
+     * @param placement chooses backend servers
+     * @param random source of randomness for the choice of services and for jitter
+     * @param metrics the metrics
      * @param policy the mechanisms in use
      */
     public Gateway(
-            final GatewayState beliefs,
+            final GatewayState state,
             final WireCodec codec,
             final HttpClient client,
             final Placement placement,
             final RandomGenerator random,
             final GatewayMetrics metrics,
             final Policy policy) {
-        this.beliefs = Objects.requireNonNull(beliefs, "beliefs is null");
+        this.state = Objects.requireNonNull(state, "state is null");
         this.codec = Objects.requireNonNull(codec, "codec is null");
         this.client = Objects.requireNonNull(client, "client is null");
         this.placement = Objects.requireNonNull(placement, "placement is null");
         this.random = Objects.requireNonNull(random, "random is null");
         this.metrics = Objects.requireNonNull(metrics, "metrics is null");
         this.policy = Objects.requireNonNull(policy, "policy is null");
-        this.crashes = new CrashDetector(beliefs.clock(), client);
-        crashes.onDecided(this::onUnreachable, this::onQuarantined);
-        beliefs.servers().onRestart(this::onRestarted);
+        this.crashes = new CrashDetector(state.clock(), client);
+        crashes.setListeners(this::onUnreachable, this::onQuarantined);
+        state.servers().onRestart(this::onRestarted);
     }
 
     @Override
@@ -81,48 +82,48 @@
         try {
             request = codec.decode(exchange);
         } catch (final MalformedRequestException e) {
-            refuse(exchange, "", Refusal.MALFORMED, e.getMessage());
+            reject(exchange, "", GatewayError.MALFORMED, e.getMessage());
             return;
         }
-        if (beliefs.configuration().isEmpty()) {
-            refuse(exchange, request.id(), Refusal.NOT_CONFIGURED, "");
+        if (state.configuration().isEmpty()) {
+            reject(exchange, request.id(), GatewayError.NOT_CONFIGURED, "");
             return;
         }
-        final ServingConfiguration configuration = beliefs.configuration().get();
-        final String about = "configuration " + configuration.version();
+        final ServingConfiguration configuration = state.configuration().get();
+        final String detail = "configuration " + configuration.version();
         final Optional<Route> route = configuration.route(request.host(), request.path());
         if (route.isEmpty()) {
-            refuse(exchange, request.id(), Refusal.NO_ROUTE, about);
+            reject(exchange, request.id(), GatewayError.NO_ROUTE, detail);
             return;
         }
         final Optional<TeamAccess> access = request.key().flatMap(configuration::access);
         if (configuration.keysInUse() && !route.get().keyless() && access.isEmpty()) {
-            refuse(exchange, request.id(), Refusal.UNKNOWN_KEY, about);
+            reject(exchange, request.id(), GatewayError.UNKNOWN_KEY, detail);
             return;
         }
-        new RequestRun(this, exchange, request, configuration, route.get(), access).start();
+        new RequestExecution(this, exchange, request, configuration, route.get(), access).start();
     }
 
     /**
-     * Sets who hears of workers that could not be reached though the way there works.
+     * Sets the listener for backend servers that could not be reached although the network works.
      *
-     * @param listener takes the worker
+     * @param listener receives the backend server
      */
     public void onUnreachable(final Consumer<Incarnation> listener) {
         unreachableListener = Objects.requireNonNull(listener, "listener is null");
     }
 
     /**
-     * Sets who hears of workers that said in an answer that they leave.
+     * Sets the listener for backend servers that report in a response that they are draining.
      *
-     * @param listener takes the worker
+     * @param listener receives the backend server
      */
     public void onServerDraining(final Consumer<Incarnation> listener) {
-        leavingListener = Objects.requireNonNull(listener, "listener is null");
+        drainingListener = Objects.requireNonNull(listener, "listener is null");
     }
 
     /**
-     * Returns how many requests have no whole answer yet.
+     * Returns the number of requests whose response is not complete.
      *
      * @return the count
      */
@@ -130,24 +131,29 @@
         return inFlight;
     }
 
-    /** Gives up attempts at workers that went silent. To be called several times a second. */
+    /**
+     * Ends attempts at backend servers that exceed the inactivity timeout. To be called several
+     * times a second.
+     */
     public void checkInactivity() {
         List.copyOf(attempts).forEach(Attempt::checkInactivity);
     }
 
     /**
-     * Returns what finds the requests that end their workers.
+     * Returns the detector of requests that crash backend servers.
      *
-     * @return the watch
+     * @return the detector
      */
     public CrashDetector crashes() {
         return crashes;
     }
 
-    /** Takes a request back from the workers where it waits: each would end when it begins. */
-    private void onQuarantined(final Fingerprint content) {
+    /**
+     * Withdraws a quarantined request from the backend servers that have it, before they run it.
+     */
+    private void onQuarantined(final Fingerprint fingerprint) {
         for (final Attempt attempt : List.copyOf(attempts)) {
-            attempt.run().withdraw(content);
+            attempt.execution().withdraw(fingerprint);
         }
     }
 
@@ -155,8 +161,8 @@
         return attempts;
     }
 
-    GatewayState beliefs() {
-        return beliefs;
+    GatewayState state() {
+        return state;
     }
 
     WireCodec codec() {
@@ -183,40 +189,39 @@
         return metrics;
     }
 
-    void onBegin() {
+    void onRequestStarted() {
         inFlight++;
         metrics.begin();
     }
 
-    void onEnd() {
+    void onRequestEnded() {
         inFlight--;
     }
 
     /**
-     * Notes that a worker is silent to requests that it has. All requests there notice it in the
-     * same moment; it is one failure, and counted for each it would seem that three workers of the
-     * data centre are out of reach.
+     * Records that a backend server is inactive. All of its requests detect this at the same time;
+     * counted once per request, one failure would look like an unreachable data centre.
      */
-    void onSilent(final TrackedServer server) {
+    void onInactive(final TrackedServer server) {
         if (server.health().tier() != ServerHealth.Tier.UNREACHABLE) {
             onUnreachable(server);
         }
     }
 
     /**
-     * Notes that a worker said that it leaves, and tells the other VMs: its entry may say so only
-     * many seconds later, and requests that are there when it stops are cut off.
+     * Records that a backend server is draining and notifies the other VMs, since the change of its
+     * entry may arrive many seconds later.
      */
-    void onLeaving(final TrackedServer server) {
+    void onServerDraining(final TrackedServer server) {
         final Incarnation incarnation = server.entry().incarnation();
-        if (beliefs.servers().onLeaving(incarnation)) {
-            EventLog.write(Event.SERVER_LEAVES, "server", incarnation, "source", "own answer");
-            leavingListener.accept(incarnation);
+        if (state.servers().onLeaving(incarnation)) {
+            EventLog.write(Event.SERVER_LEAVES, "server", incarnation, "source", "response");
+            drainingListener.accept(incarnation);
         }
     }
 
-    /** Notes that a worker wants nothing from this VM for a time. */
-    void onTurnedAway(final TrackedServer server, final Duration time) {
+    /** Records that a backend server rejects requests of this VM for a time. */
+    void onRejecting(final TrackedServer server, final Duration time) {
         server.onTurnedAway(time);
         EventLog.write(
                 Event.SERVER_TURNS_AWAY,
@@ -226,7 +231,10 @@
                 time.toMillis());
     }
 
-    /** Notes that a worker could not be reached, and tells the other VMs if it is at fault. */
+    /**
+     * Records that a backend server could not be reached and notifies the other VMs if the network
+     * is not at fault.
+     */
     void onUnreachable(final TrackedServer server) {
         client.closeIdle(Sockets.address(server.entry().address()));
         if (server.health().onUnreachable()) {
@@ -235,9 +243,9 @@
     }
 
     /**
-     * Closes the connections that rest with the former life of a worker: without a reset (behind a
-     * cut) a request sent on one would wait for its caller's time in vain. Requests under way there
-     * are ended by {@link Attempt#checkInactivity}.
+     * Closes the idle connections to the previous incarnation of a backend server. If no reset
+     * arrives, a request sent on one would wait until its deadline. Running requests are ended by
+     * {@link Attempt#checkInactivity}.
      */
     private void onRestarted(final TrackedServer former) {
         final ServerEntry entry = former.entry();
@@ -252,44 +260,44 @@
         client.closeIdle(Sockets.address(entry.address()));
     }
 
-    /** Answers for the router itself. */
-    void respond(final ServerExchange exchange, final String requestId, final Refusal refusal) {
-        respond(exchange, requestId, refusal, refusal.comeBack());
+    /** Sends an error response. */
+    void respond(final ServerExchange exchange, final String requestId, final GatewayError error) {
+        respond(exchange, requestId, error, error.retryAfter());
     }
 
-    /** Answers for the router itself, with when to come back as it was worked out. */
+    /** Sends an error response with the given retry time. */
     void respond(
             final ServerExchange exchange,
             final String requestId,
-            final Refusal refusal,
-            final Duration comeBack) {
-        respond(exchange, requestId, refusal, Optional.of(comeBack));
+            final GatewayError error,
+            final Duration retryAfter) {
+        respond(exchange, requestId, error, Optional.of(retryAfter));
     }
 
     private void respond(
             final ServerExchange exchange,
             final String requestId,
-            final Refusal refusal,
-            final Optional<Duration> comeBack) {
-        final byte[] body = OwnAnswer.body(refusal);
-        exchange.respond(refusal.status(), codec.errorHeaders(requestId, comeBack), body);
+            final GatewayError error,
+            final Optional<Duration> retryAfter) {
+        final byte[] body = ErrorBody.body(error);
+        exchange.respond(error.status(), codec.errorHeaders(requestId, retryAfter), body);
     }
 
-    private void refuse(
+    private void reject(
             final ServerExchange exchange,
             final String requestId,
-            final Refusal refusal,
+            final GatewayError error,
             final String detail) {
         EventLog.write(
                 Event.REQUEST_REFUSED,
                 "request",
                 requestId,
                 "reason",
-                refusal.reason(),
+                error.reason(),
                 "status",
-                refusal.status(),
+                error.status(),
                 "detail",
                 detail);
-        respond(exchange, requestId, refusal);
+        respond(exchange, requestId, error);
     }
 }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/GatewayMetrics.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/GatewayMetrics.java
@@ -7,10 +7,12 @@
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
 import java.util.function.DoubleSupplier;
 
-/** The gateway's counters and histograms, for Prometheus. Thread-safe. */
+/** Prometheus metrics of the gateway. Thread-safe. */
 public final class GatewayMetrics {
 
-    private static final double[] SECONDS = {0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 2, 4, 8, 16};
+    private static final double[] LATENCY_BUCKETS_SECONDS = {
+        0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 2, 4, 8, 16
+    };
 
     private final PrometheusRegistry registry = new PrometheusRegistry();
     private final Counter requests =
@@ -25,7 +27,7 @@
                     .help("Attempts at workers by service and end")
                     .labelNames("service", "end")
                     .register(registry);
-    private final Counter sentToCold =
+    private final Counter sentToWarmingUp =
             Counter.builder()
                     .name("fennelstage_gateway_cold_server_requests_total")
                     .help("Requests sent to workers that warm up, by service")
@@ -37,15 +39,15 @@
                     .help("Time from the request to the first byte for the caller, by route")
                     .labelNames("route")
                     .classicOnly()
-                    .classicUpperBounds(SECONDS)
+                    .classicUpperBounds(LATENCY_BUCKETS_SECONDS)
                     .register(registry);
-    private final Histogram whole =
+    private final Histogram duration =
             Histogram.builder()
                     .name("fennelstage_gateway_answer_seconds")
                     .help("Time from the request to the end of its answer, by route")
                     .labelNames("route")
                     .classicOnly()
-                    .classicUpperBounds(SECONDS)
+                    .classicUpperBounds(LATENCY_BUCKETS_SECONDS)
                     .register(registry);
     private final Gauge inFlight =
             Gauge.builder()
@@ -54,11 +56,11 @@
                     .register(registry);
 
     /**
-     * Adds a gauge that is read when scraped.
+     * Registers a gauge whose value is read at each scrape.
      *
-     * @param name its name
-     * @param help what it says
-     * @param value reads it
+     * @param name the metric name
+     * @param help the help text
+     * @param value supplies the current value
      */
     public void gauge(final String name, final String help, final DoubleSupplier value) {
         GaugeWithCallback.builder()
@@ -75,15 +77,15 @@
     void end(final String route, final String outcome, final long millis) {
         inFlight.dec();
         requests.labelValues(route, outcome).inc();
-        whole.labelValues(route).observe(millis / 1_000.0);
+        duration.labelValues(route).observe(millis / 1_000.0);
     }
 
     void firstByte(final String route, final long millis) {
         firstByte.labelValues(route).observe(millis / 1_000.0);
     }
 
-    void sentToCold(final String service) {
-        sentToCold.labelValues(service).inc();
+    void sentToWarmingUp(final String service) {
+        sentToWarmingUp.labelValues(service).inc();
     }
 
     void attempt(final String service, final String end) {
@@ -91,7 +93,7 @@
     }
 
     /**
-     * Returns all metrics in Prometheus' text form.
+     * Returns all metrics in the Prometheus text format.
      *
      * @return the text
      */
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/GatewaySettings.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/GatewaySettings.java
@@ -4,17 +4,17 @@
 import java.util.Objects;
 
 /**
- * Bounds that the deployment sets. Immutable and thread-safe.
+ * Bounds set by the deployment. Immutable and thread-safe.
  *
- * @param retryRatio repeats per request that the whole fleet may make in a window
+ * @param retryRatio maximum retries per request of the whole fleet within a window
  * @param retryWindow the window
- * @param retrySlack repeats beyond that for the whole fleet
- * @param canaryShare the largest part of a service's requests that a bad version may get
- * @param configurationDelay how long after the store's acknowledgement of a configuration a VM may
- *     act by the one before
- * @param drainingDelay how long after the store's acknowledgement that a worker leaves a VM may
- *     send it requests
- * @param grace how long a process may go on after it was asked to stop
+ * @param retrySlack further retries within a window of the whole fleet
+ * @param canaryShare maximum share of a service's requests that a bad version may receive
+ * @param configurationDelay how long after the store has acknowledged a configuration a VM may use
+ *     the previous one
+ * @param drainingDelay how long after the store has acknowledged that a backend server is draining
+ *     a VM may send it requests
+ * @param grace how long a process may run on after it was asked to stop
  */
 public record GatewaySettings(
         double retryRatio,
@@ -33,7 +33,7 @@
     }
 
     /**
-     * Returns how long news from the store may take to reach a VM, whatever it is about.
+     * Returns the time within which any change in the store must reach a VM.
      *
      * @return the shorter of both delays
      */
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/GatewayState.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/GatewayState.java
@@ -33,23 +33,24 @@
 import org.fennelstage.time.MonotonicClock;
 
 /**
- * What this VM believes of the world: configuration, workers, roll-outs, and the state of its own
- * requests against them.
+ * What this VM knows of the fleet: configuration, backend servers and rollouts, and statistics of
+ * its own requests.
  *
- * <p>Invariant: the configuration's version never falls. Confined to one event loop.
+ * <p>Invariant: the version of the configuration never decreases.
+ *
+ * <p>Not thread-safe; confined to the event loop.
  */
 public final class GatewayState {
 
     /**
-     * VMs among which the fleet's slack of repeats is divided at least. A VM that just started does
-     * not know yet how many others there are; in a small fleet a fixed part wastes some slack.
+     * Minimum number of VMs among which the retry slack of the fleet is divided, for a VM that does
+     * not know yet how many others there are.
      */
-    private static final int LEAST_SLACK_PARTS = 16;
+    private static final int MIN_SLACK_SHARES = 16;
 
     /**
-     * How long operators and workers may take to write again what a store lost that came back from
-     * an older copy; milliseconds. Workers take about two seconds; as much again for operators, who
-     * see it by their own calls.
+     * How long operators and backend servers may take to rewrite what the store lost when it was
+     * restored from an older copy; milliseconds.
      */
     public static final long REWRITE_MILLIS = 4_000;
 
@@ -60,22 +61,22 @@
     private final WarmUpShares warmUpShares = WarmUpShares.empty();
     private final Eligibility eligibility;
     private final Map<ServiceName, Canary> canaries = new HashMap<>();
-    private final Map<ServiceName, RepeatBudget> budgets = new HashMap<>();
-    private final Map<String, UsualFailures> usualFailures = new HashMap<>();
-    private final Map<String, Pace> paces = new HashMap<>();
-    private final Map<String, Opinions> opinions = new HashMap<>();
+    private final Map<ServiceName, RepeatBudget> retryBudgets = new HashMap<>();
+    private final Map<String, UsualFailures> baselineFailureRates = new HashMap<>();
+    private final Map<String, Pace> latencyEstimators = new HashMap<>();
+    private final Map<String, Opinions> confidenceGains = new HashMap<>();
     private Optional<ServingConfiguration> configuration = Optional.empty();
     private int vmCount;
-    private Position ordersKnownTo = Position.NONE;
-    private boolean settling;
-    private long settledAtMillis;
-    private Runnable ordersWanted = () -> {};
+    private Position ordersReadUpTo = Position.NONE;
+    private boolean inRestoreGrace;
+    private long restoreGraceEndMillis;
+    private Runnable refreshOrders = () -> {};
 
     /**
-     * Creates the beliefs of a VM that knows nothing.
+     * Creates the state of a VM that has read nothing from the store.
      *
      * @param clock the clock
-     * @param settings the deployment's bounds
+     * @param settings the bounds set by the deployment
      */
     public GatewayState(final MonotonicClock clock, final GatewaySettings settings) {
         this.clock = Objects.requireNonNull(clock, "clock is null");
@@ -103,10 +104,10 @@
     }
 
     /**
-     * Takes a configuration if it is newer than the present one.
+     * Applies a configuration if it is newer than the current one.
      *
      * @param newer the configuration
-     * @return whether it is in force now
+     * @return whether it was applied
      */
     public boolean offer(final ServingConfiguration newer) {
         final boolean isNewer =
@@ -118,19 +119,20 @@
     }
 
     /**
-     * Puts new bounds into force for services that are met from now on, and for budgets at once.
+     * Applies new bounds. Retry budgets are reset; rollout states created earlier keep their
+     * bounds.
      *
      * @param newer the bounds
      */
     public void apply(final GatewaySettings newer) {
         if (!newer.equals(settings)) {
             settings = newer;
-            budgets.clear();
+            retryBudgets.clear();
         }
     }
 
     /**
-     * Returns the roll-out state of a service.
+     * Returns the rollout state of a service, created on first use.
      *
      * @param service the service
      * @return the state
@@ -140,7 +142,7 @@
     }
 
     /**
-     * Returns the roll-out states of all services met so far.
+     * Returns the rollout states created so far, by service.
      *
      * @return the states
      */
@@ -148,23 +150,23 @@
         return canaries;
     }
 
-    /** Returns the pace of a service's workers with one model. */
-    Pace pace(final ServiceName service, final Optional<ModelId> model) {
+    /** Returns the latency statistics of a service's backend servers with one model. */
+    Pace latencyEstimator(final ServiceName service, final Optional<ModelId> model) {
         final String key = service + "/" + model.map(ModelId::value).orElse("");
-        return paces.computeIfAbsent(key, k -> new Pace());
+        return latencyEstimators.computeIfAbsent(key, k -> new Pace());
     }
 
-    /** Returns what models' opinions tell on a route; requests of a kind are alike. */
-    Opinions opinions(final String route) {
-        return opinions.computeIfAbsent(route, r -> Opinions.empty());
+    /** Returns the confidence statistics of the models of a route. */
+    Opinions confidenceGains(final String route) {
+        return confidenceGains.computeIfAbsent(route, r -> Opinions.empty());
     }
 
-    private double ownSlack() {
-        return settings.retrySlack() / Math.max(LEAST_SLACK_PARTS, vmCount);
+    private double retrySlackShare() {
+        return settings.retrySlack() / Math.max(MIN_SLACK_SHARES, vmCount);
     }
 
     /**
-     * Notes how many VMs have entered themselves into the store, gone ones included.
+     * Sets the number of VMs registered in the store, including those that have stopped.
      *
      * @param count the count
      */
@@ -173,16 +175,16 @@
     }
 
     /**
-     * Notes which VMs there are, once that is known.
+     * Sets the VMs of the fleet.
      *
      * @param own this VM
-     * @param others all others, gone ones included
+     * @param others all others, including those that have stopped
      */
     public void onVms(final VmId own, final Set<VmId> others) {
         warmUpShares.onVms(own, others);
     }
 
-    /** Returns this VM's share of the connections that each worker of a service accepts. */
+    /** Returns this VM's share of the connections that each backend server of a service accepts. */
     ConnectionShare connectionShare(final ServiceName service) {
         final int accepted =
                 configuration
@@ -197,7 +199,7 @@
     }
 
     /**
-     * Notes that operators have taken a data centre back.
+     * Handles the end of the evacuation of a data centre.
      *
      * @param dataCentre the data centre
      */
@@ -207,42 +209,44 @@
                 .forEach(eligibility::onTakenBack);
     }
 
-    /** Returns the share of a route's requests that fail wherever they run. */
-    UsualFailures usualFailures(final String route) {
-        return usualFailures.computeIfAbsent(route, r -> new UsualFailures());
+    /**
+     * Returns the statistics of the share of a route's requests that fail at any backend server.
+     */
+    UsualFailures baselineFailureRate(final String route) {
+        return baselineFailureRates.computeIfAbsent(route, r -> new UsualFailures());
     }
 
-    RepeatBudget budget(final ServiceName service) {
-        return budgets.computeIfAbsent(
+    RepeatBudget retryBudget(final ServiceName service) {
+        return retryBudgets.computeIfAbsent(
                 service,
                 s ->
                         RepeatBudget.of(
                                 clock,
                                 settings.retryWindow(),
                                 settings.retryRatio(),
-                                this::ownSlack));
+                                this::retrySlackShare));
     }
 
     /**
-     * Notes up to which position all orders to roll versions out are known.
+     * Sets the position up to which all rollout orders have been read.
      *
      * @param position the position
      */
     public void onOrdersReadUpTo(final Position position) {
-        ordersKnownTo = position.isAfter(ordersKnownTo) ? position : ordersKnownTo;
+        ordersReadUpTo = position.isAfter(ordersReadUpTo) ? position : ordersReadUpTo;
         admitVersions();
     }
 
     /**
-     * Takes the store at its word again, once operators and workers have had the time to write
-     * again what it lost by coming back from an older copy. To be called a few times a second.
+     * Ends the grace period after a restore of the store once it has elapsed. To be called a few
+     * times a second.
      */
     public void checkRestoreGrace() {
-        if (settling && clock.millis() >= settledAtMillis) {
-            settling = false;
+        if (inRestoreGrace && clock.millis() >= restoreGraceEndMillis) {
+            inRestoreGrace = false;
             canaries.values().forEach(Canary::onStoreSettled);
             admitVersions();
-            ordersWanted.run();
+            refreshOrders.run();
         }
     }
 
@@ -250,86 +254,90 @@
         servers.all().forEach(server -> admitVersion(server.entry()));
     }
 
-    /** Notes that the store has come back from an older copy. */
+    /**
+     * Handles a restore of the store from an older copy: starts the grace period in which operators
+     * and backend servers rewrite what was lost.
+     */
     public void onStoreRestored() {
         servers.onStoreReplaced();
         canaries.values().forEach(Canary::onStoreReplaced);
-        settling = true;
-        settledAtMillis = clock.millis() + REWRITE_MILLIS;
+        inRestoreGrace = true;
+        restoreGraceEndMillis = clock.millis() + REWRITE_MILLIS;
     }
 
     /**
-     * Takes a worker's entry.
+     * Applies the entry of a backend server.
      *
      * @param entry the entry
-     * @return false if it speaks of an incarnation that has ended, and was passed over
+     * @return false if it was ignored because it belongs to an incarnation that has ended
      */
     public boolean onServer(final ServerEntry entry) {
         if (!servers.put(entry)) {
             return false;
         }
-        onVersionOf(entry);
+        onVersion(entry);
         return true;
     }
 
     /**
-     * Takes a complete list of the workers' entries.
+     * Applies a complete list of the entries of backend servers.
      *
-     * @param entries all of them
+     * @param entries all entries
      */
     public void onAllServers(final Collection<ServerEntry> entries) {
         servers.replaceAll(entries);
-        servers.all().forEach(server -> onVersionOf(server.entry()));
+        servers.all().forEach(server -> onVersion(server.entry()));
     }
 
-    private void onVersionOf(final ServerEntry entry) {
+    private void onVersion(final ServerEntry entry) {
         admitVersion(entry);
-        final boolean waits = !canary(entry.service()).knows(entry.version());
-        if (waits && !ordersKnownTo.equals(Position.NONE)) {
-            ordersWanted.run();
+        final boolean isUnknown = !canary(entry.service()).knows(entry.version());
+        if (isUnknown && !ordersReadUpTo.equals(Position.NONE)) {
+            refreshOrders.run();
         }
     }
 
     /**
-     * Sets what asks for the present state of all orders. It runs when the version of a worker can
-     * be judged only by them.
+     * Sets the action that reads all rollout orders again. It runs when the version of a backend
+     * server is unknown, and at the end of the grace period.
      *
-     * @param action asks for them
+     * @param action reads the orders
      */
     public void onOrdersNeeded(final Runnable action) {
-        ordersWanted = Objects.requireNonNull(action, "action is null");
+        refreshOrders = Objects.requireNonNull(action, "action is null");
     }
 
     /**
-     * Admits the version of a worker if no order can speak of it that is not known here.
+     * Admits the version of a backend server if no unread rollout order can concern it.
      *
-     * <p>Workers of a new version enter after the order to roll it out. Their entries may be heard
-     * of first, since each kind of object has a watch of its own; taken for a version in use, the
-     * new one would get traffic that nobody counts against its share. An entry written before the
-     * last known state of the orders cannot belong to a later one.
+     * <p>Entries and orders are watched separately, so the entry of a backend server with a new
+     * version may arrive before its rollout order. Admitted too early, the new version would exceed
+     * its share of the traffic. An entry written before the position up to which the orders were
+     * read cannot belong to a later order.
      *
-     * <p>That holds within one era of the store. After its return from an older copy, workers of a
-     * new version may write again before the operator does, in any order; so where a version is in
-     * use already, no other is admitted for a while, and never by the word of a former era.
+     * <p>This holds only within one era of the store. During the grace period after a restore,
+     * entries and orders may be rewritten in any order; a service that has a version in use admits
+     * no other until it ends, and an entry of an earlier era admits none.
      */
     private void admitVersion(final ServerEntry entry) {
-        if (!ordersKnownTo.reaches(entry.position())) {
+        if (!ordersReadUpTo.reaches(entry.position())) {
             return;
         }
         final Canary canary = canary(entry.service());
-        if (!settling || !canary.hasVersionInUse()) {
+        if (!inRestoreGrace || !canary.hasVersionInUse()) {
             canary.onUnordered(entry.version());
         }
     }
 
     /**
-     * Returns the workers that may get a request now. One that may not is not among them even if it
-     * is the last: it would turn the request away, crash under it, or be switched off before it has
-     * answered.
+     * Returns the backend servers that are eligible for a request now. An ineligible one is left
+     * out even if it is the last: it would reject the request, crash, or be stopped before it has
+     * responded.
      *
      * @param service the service
-     * @param toNew whether the request goes to the version under roll-out
-     * @return the workers; those of the proven version if the new one has none
+     * @param toNew whether the request goes to the new version
+     * @return the eligible backend servers; those of the current version if none has the new
+     *     version
      */
     List<TrackedServer> candidates(final ServiceName service, final boolean toNew) {
         final Canary canary = canary(service);
@@ -344,23 +352,23 @@
                 }
             }
         }
-        // Workers of a new version that may get nothing for a moment must not send sessions back to
-        // the old one.
+        // Sessions stay with the new version while its backend servers are only temporarily
+        // ineligible.
         return anyAdmitted || !toNew ? eligible : candidates(service, false);
     }
 
-    /** Counts the workers of a service that may get no request now, by the reason for it. */
+    /** Counts the ineligible backend servers of a service by reason. */
     Eligibility.Reasons ineligible(final ServiceName service) {
         return eligibility.reasons(servers.usable(service));
     }
 
     /**
-     * Returns when the first worker may get requests again, if those of a service may get none now.
+     * Returns the time until the first backend server of a service becomes eligible.
      *
      * @param service the service
-     * @return the time until then, empty if one may, or if nobody knows
+     * @return the time, empty if one is eligible now or the time is unknown
      */
-    Optional<Duration> soonestEligible(final ServiceName service) {
+    Optional<Duration> timeUntilEligible(final ServiceName service) {
         return servers.usable(service).stream()
                 .map(eligibility::wait)
                 .flatMap(Optional::stream)
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/MalformedRequestException.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/MalformedRequestException.java
@@ -1,6 +1,6 @@
 package org.fennelstage.gateway;
 
-/** A caller's request lacks what every request needs. */
+/** Thrown when a caller's request lacks a required header or contains an invalid value. */
 public final class MalformedRequestException extends Exception {
 
     private static final long serialVersionUID = 1L;
@@ -8,7 +8,7 @@
     /**
      * Creates the exception.
      *
-     * @param message what is missing or wrong
+     * @param message what is missing or invalid
      */
     public MalformedRequestException(final String message) {
         super(message);
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/ModelChoice.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/ModelChoice.java
@@ -10,59 +10,62 @@
 import org.fennelstage.sizing.SizePlan;
 
 /**
- * Which model one request is put to, and what its models' opinions teach. Confined to the event
- * loop.
+ * Chooses the model for one request and records the confidences that its models report.
+ *
+ * <p>Not thread-safe; confined to the event loop.
  */
 final class ModelChoice {
 
-    /** What a model thinks of its answer, 0 to 100. */
-    private record Opinion(ModelId model, int value) {}
+    /** The confidence of a model in its answer, 0 to 100. */
+    private record ModelConfidence(ModelId model, int value) {}
 
     private final SizePlan sizes;
-    private final Opinions opinions;
-    private Optional<Opinion> first = Optional.empty();
+    private final Opinions confidenceGains;
+    private Optional<ModelConfidence> first = Optional.empty();
 
-    private ModelChoice(final SizePlan sizes, final Opinions opinions) {
+    private ModelChoice(final SizePlan sizes, final Opinions confidenceGains) {
         this.sizes = sizes;
-        this.opinions = opinions;
+        this.confidenceGains = confidenceGains;
     }
 
     static ModelChoice of(final Route route, final Gateway gateway) {
-        final Opinions opinions = gateway.beliefs().opinions(route.name());
-        return new ModelChoice(SizePlan.of(route, opinions, gateway.policy()), opinions);
+        final Opinions confidenceGains = gateway.state().confidenceGains(route.name());
+        return new ModelChoice(
+                SizePlan.of(route, confidenceGains, gateway.policy()), confidenceGains);
     }
 
-    /** Returns the model to ask, empty if the caller named it. */
+    /** Returns the model to use, empty if the caller named it. */
     Optional<ModelId> model() {
         return sizes.model();
     }
 
     /**
-     * Returns the model that is to be asked in place of the one that has begun to answer.
+     * Returns the larger model to try instead of the one that has started to respond.
      *
-     * @param opinion what that one thinks of its answer, empty if it does not say
-     * @param inTime tells whether a model can begin to answer before the caller's deadline
-     * @return the model, empty if the answer is to be taken
+     * @param confidence the confidence reported with the response, empty if none was reported
+     * @param canMeetDeadline tests whether a model can start to respond before the deadline
+     * @return the larger model, empty if the response is to be kept
      */
-    Optional<ModelId> better(final OptionalInt opinion, final Predicate<ModelId> inTime) {
-        Objects.requireNonNull(inTime, "inTime is null");
-        if (opinion.isPresent() && sizes.model().isPresent()) {
-            learn(new Opinion(sizes.model().get(), opinion.getAsInt()));
+    Optional<ModelId> nextModel(
+            final OptionalInt confidence, final Predicate<ModelId> canMeetDeadline) {
+        Objects.requireNonNull(canMeetDeadline, "canMeetDeadline is null");
+        if (confidence.isPresent() && sizes.model().isPresent()) {
+            observe(new ModelConfidence(sizes.model().get(), confidence.getAsInt()));
         }
-        return sizes.better(opinion, inTime);
+        return sizes.better(confidence, canMeetDeadline);
     }
 
     void escalate(final ModelId model) {
         sizes.escalate(model);
     }
 
-    /** A request that was put to two models tells what the smaller one's opinion is worth. */
-    private void learn(final Opinion now) {
+    /** Records the gain in confidence if two models have answered this request. */
+    private void observe(final ModelConfidence now) {
         if (first.isEmpty()) {
             first = Optional.of(now);
         } else if (!first.get().model().equals(now.model())) {
-            final Opinion before = first.get();
-            opinions.onBoth(before.model(), before.value(), now.model(), now.value());
+            final ModelConfidence before = first.get();
+            confidenceGains.onBoth(before.model(), before.value(), now.model(), now.value());
         }
     }
 }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/RequestRun.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/RequestExecution.java
@@ -27,16 +27,18 @@
 import org.fennelstage.serving.WeightedService;
 
 /**
- * One request from its arrival to its one end.
+ * Executes one request from its arrival to its end.
  *
- * <p>Invariants: the caller gets exactly one answer or a broken connection; at most one attempt is
- * open; whether another may be made, and whether "not run" may be said, is decided by {@link
- * AttemptLog} alone. Confined to the event loop.
+ * <p>Invariants: the caller receives exactly one response or a broken connection; at most one
+ * attempt is open; {@link AttemptLog} alone decides whether another attempt may be made and whether
+ * "not run" may be reported.
+ *
+ * <p>Not thread-safe; confined to the event loop.
  */
-final class RequestRun {
+final class RequestExecution {
 
-    /** Attempts that fail before anything is sent; more means that the network is at fault. */
-    private static final int MOST_NOT_SENT = 4;
+    /** Maximum attempts that fail before anything is sent; more indicate a fault of the network. */
+    private static final int MAX_NOT_SENT = 4;
 
     private final Gateway gateway;
     private final ServerExchange exchange;
@@ -44,15 +46,15 @@
     private final Route route;
     private final Optional<TeamAccess> access;
     private final AttemptLog attempts;
-    private final Fingerprint content;
+    private final Fingerprint fingerprint;
     private final RequestLog log;
     private final ModelChoice models;
-    private final Outlook outlook;
-    private final RefusedAnswer refused;
+    private final WaitEstimator waitEstimator;
+    private final ErrorResponder errors;
     private final long arrivedMillis;
     private final long deadlineMillis;
-    private final CallerAnswer answer;
-    private Optional<Attempt> open = Optional.empty();
+    private final CallerResponse response;
+    private Optional<Attempt> openAttempt = Optional.empty();
     private Optional<ScheduledFuture<?>> timer = Optional.empty();
     private ServiceName service;
     private OptionalInt confidence = OptionalInt.empty();
@@ -60,7 +62,7 @@
     private int notSent;
     private boolean ended;
 
-    RequestRun(
+    RequestExecution(
             final Gateway gateway,
             final ServerExchange exchange,
             final CallerRequest request,
@@ -73,99 +75,100 @@
         this.route = route;
         this.access = access;
         this.attempts = AttemptLog.of(route.repeatable(), route.maxServers());
-        this.content = request.fingerprint();
-        this.log = new RequestLog(request, content, route, configuration.version(), attempts);
+        this.fingerprint = request.fingerprint();
+        this.log = new RequestLog(request, fingerprint, route, configuration.version(), attempts);
         this.models = ModelChoice.of(route, gateway);
-        this.outlook = new Outlook(gateway, request);
-        this.refused = new RefusedAnswer(gateway, exchange, request.id(), outlook, log);
+        this.waitEstimator = new WaitEstimator(gateway, request);
+        this.errors = new ErrorResponder(gateway, exchange, request.id(), waitEstimator, log);
         this.arrivedMillis = now();
         final Duration allowed =
                 request.deadline()
                         .filter(d -> d.compareTo(route.timeout()) < 0)
                         .orElse(route.timeout());
         this.deadlineMillis = arrivedMillis + allowed.toMillis();
-        this.answer = new CallerAnswer(exchange, this::onFirstByte);
+        this.response = new CallerResponse(exchange, this::onFirstByte);
     }
 
     void start() {
-        gateway.onBegin();
-        exchange.onClosed(this::onCallerGone);
+        gateway.onRequestStarted();
+        exchange.onClosed(this::onCallerDisconnected);
         if (ended) {
             return;
         }
-        exchange.onWritable(() -> open.ifPresent(a -> a.pause(false)));
-        if (refusedAsQuarantined()) {
+        exchange.onWritable(() -> openAttempt.ifPresent(a -> a.pause(false)));
+        if (rejectedAsQuarantined()) {
             return;
         }
         timer = Optional.of(schedule(this::onDeadline, remaining().toMillis()));
         final Optional<WeightedService> chosen = route.service(gateway.random().nextDouble());
         if (chosen.isEmpty()) {
-            refuse(Refusal.NO_SERVER);
+            reject(GatewayError.NO_SERVER);
             return;
         }
         service = chosen.get().service();
         version = canary().choose(request.session(), request.id());
-        gateway.beliefs().budget(service).onRequest();
-        final OptionalDouble hopeless =
-                outlook.hopelessMillis(service, candidates(), models.model(), remaining());
-        if (hopeless.isPresent()) {
-            refuseHopeless(hopeless.getAsDouble());
+        gateway.state().retryBudget(service).onRequest();
+        final OptionalDouble excessiveWait =
+                waitEstimator.excessiveWaitMillis(
+                        service, candidates(), models.model(), remaining());
+        if (excessiveWait.isPresent()) {
+            rejectForWait(excessiveWait.getAsDouble());
         } else {
-            attempt();
+            startAttempt();
         }
     }
 
-    private void refuseHopeless(final double waitMillis) {
-        refused.hopeless(waitMillis, remaining());
-        finish(Refusal.NO_ROOM);
+    private void rejectForWait(final double waitMillis) {
+        errors.waitTooLong(waitMillis, remaining());
+        finish(GatewayError.OVERLOADED);
     }
 
-    /** Tells whether the request ends its workers and is refused for that. */
-    private boolean refusedAsQuarantined() {
-        final Optional<Duration> left = gateway.crashes().refusal(content);
-        left.ifPresent(this::refuseQuarantined);
-        return left.isPresent();
+    /** Rejects the request if it is quarantined, and returns whether it is. */
+    private boolean rejectedAsQuarantined() {
+        final Optional<Duration> remainingQuarantine = gateway.crashes().rejectionTime(fingerprint);
+        remainingQuarantine.ifPresent(this::rejectQuarantined);
+        return remainingQuarantine.isPresent();
     }
 
-    /** A worker that had the request before may have run it. */
-    private void refuseQuarantined(final Duration left) {
-        if (answer.started() || attempts.mayHaveRun()) {
+    /** Rejects the request as not run only if no backend server may have run it. */
+    private void rejectQuarantined(final Duration remainingQuarantine) {
+        if (response.started() || attempts.mayHaveRun()) {
             giveUp();
             return;
         }
-        refused.quarantined(left);
-        finish(Refusal.QUARANTINED);
+        errors.quarantined(remainingQuarantine);
+        finish(GatewayError.QUARANTINED);
     }
 
     /**
-     * Takes the request back from its worker, if it is the one that is refused from now on and its
-     * caller has nothing of an answer yet.
+     * Withdraws the request from its backend server if it has just been quarantined and no response
+     * has started.
      */
-    void withdraw(final Fingerprint refused) {
-        if (ended || answer.started() || !content.equals(refused)) {
+    void withdraw(final Fingerprint quarantined) {
+        if (ended || response.started() || !fingerprint.equals(quarantined)) {
             return;
         }
-        abandonOpen(AttemptEnd.UNKNOWN);
+        abandonOpenAttempt(AttemptEnd.UNKNOWN);
         log.attemptFailed(AttemptEnd.UNKNOWN, "withdrawn", elapsedMillis());
         giveUp();
     }
 
-    private boolean canBeInTime(final ModelId model) {
+    private boolean canMeetDeadline(final ModelId model) {
         final OptionalDouble wait =
-                outlook.leastWaitMillis(service, candidates(), Optional.of(model));
+                waitEstimator.minWaitMillis(service, candidates(), Optional.of(model));
         return wait.isEmpty() || wait.getAsDouble() < remaining().toMillis();
     }
 
     private List<TrackedServer> candidates() {
-        return gateway.beliefs().candidates(service, version.toNew());
+        return gateway.state().candidates(service, version.toNew());
     }
 
     CallerRequest request() {
         return request;
     }
 
-    Fingerprint content() {
-        return content;
+    Fingerprint fingerprint() {
+        return fingerprint;
     }
 
     Route route() {
@@ -173,11 +176,11 @@
     }
 
     Canary canary() {
-        return gateway.beliefs().canary(service);
+        return gateway.state().canary(service);
     }
 
-    CallerAnswer answer() {
-        return answer;
+    CallerResponse response() {
+        return response;
     }
 
     Gateway gateway() {
@@ -192,110 +195,111 @@
         return now() - arrivedMillis;
     }
 
-    /** The attempt brought a whole answer that the caller has. */
+    /** Handles a complete response that was sent to the caller. */
     void onDelivered(final ResponseHead head) {
-        open = Optional.empty();
+        openAttempt = Optional.empty();
         if (head.isSuccess()) {
-            gateway.crashes().onAnswered(content);
+            gateway.crashes().onResponse(fingerprint);
         }
         confidence = head.confidence();
         finish("answered", head.status());
     }
 
     /**
-     * The attempt ended without success.
+     * Handles an attempt that ended without success.
      *
-     * @param end what is known of it
-     * @param detail why, for the log
-     * @param instead what to do if the request is not sent again
+     * @param end what is known of its end
+     * @param detail the cause, for the log
+     * @param fallback what to do if the request is not retried
      */
-    void onFailed(final AttemptEnd end, final String detail, final Runnable instead) {
-        open = Optional.empty();
+    void onFailed(final AttemptEnd end, final String detail, final Runnable fallback) {
+        openAttempt = Optional.empty();
         attempts.end(end);
         log.attemptFailed(end, detail, elapsedMillis());
         if (ended) {
             return;
         }
-        if (maySendAgain(end)) {
-            attempt();
+        if (mayRetry(end)) {
+            startAttempt();
         } else {
-            instead.run();
+            fallback.run();
         }
     }
 
     /**
-     * Decides whether an answer that begins is taken, or dropped for one of a larger model.
+     * Decides whether to drop a response that has started and try a larger model.
      *
-     * @param head the head of the answer
+     * @param head the head of the response
      * @return true if it was dropped
      */
-    boolean dropped(final ResponseHead head) {
-        final Optional<ModelId> better = models.better(head.confidence(), this::canBeInTime);
-        final boolean stays =
-                answer.started()
-                        || better.isEmpty()
+    boolean dropResponse(final ResponseHead head) {
+        final Optional<ModelId> nextModel =
+                models.nextModel(head.confidence(), this::canMeetDeadline);
+        final boolean keep =
+                response.started()
+                        || nextModel.isEmpty()
                         || attempts.sent() >= route.maxServers()
-                        || !gateway.beliefs().budget(service).tryRepeat();
-        if (stays) {
+                        || !gateway.state().retryBudget(service).tryRepeat();
+        if (keep) {
             return false;
         }
-        abandonOpen(AttemptEnd.DROPPED);
-        log.dropped(modelName(), head.confidence(), better.get(), elapsedMillis());
-        models.escalate(better.get());
-        attempt();
+        abandonOpenAttempt(AttemptEnd.DROPPED);
+        log.responseDropped(modelName(), head.confidence(), nextModel.get(), elapsedMillis());
+        models.escalate(nextModel.get());
+        startAttempt();
         return true;
     }
 
     /**
-     * Asks another worker in place of one that has been silent for too long, if the request may be
-     * sent again and there is another.
+     * Abandons an attempt that exceeded its inactivity timeout and tries another backend server, if
+     * the request may be retried and there is another.
      *
-     * @param detail what was seen, for the log
+     * @param detail what was observed, for the log
      */
-    void onSilent(final String detail) {
-        final boolean stays =
+    void onInactive(final String detail) {
+        final boolean keep =
                 !route.repeatable()
                         || attempts.sent() >= route.maxServers()
                         || !hasOtherServer()
-                        || !gateway.beliefs().budget(service).tryRepeat();
-        if (stays) {
+                        || !gateway.state().retryBudget(service).tryRepeat();
+        if (keep) {
             return;
         }
-        abandonOpen(AttemptEnd.UNKNOWN);
+        abandonOpenAttempt(AttemptEnd.UNKNOWN);
         log.attemptFailed(AttemptEnd.UNKNOWN, detail, elapsedMillis());
-        attempt();
+        startAttempt();
     }
 
-    /** Ends the request with what is known of its attempts. */
+    /** Ends the request with the error that follows from its attempts. */
     void giveUp() {
-        if (answer.started()) {
-            abort("stream_broken");
+        if (response.started()) {
+            abortResponse("stream_broken");
         } else if (attempts.mayHaveRun()) {
-            refuse(Refusal.OUTCOME_UNKNOWN);
+            reject(GatewayError.OUTCOME_UNKNOWN);
         } else if (attempts.sent() > 0) {
-            refuse(Refusal.REJECTED);
+            reject(GatewayError.REJECTED);
         } else {
-            finish(refused.withoutServer(service));
+            finish(errors.noServer(service));
         }
     }
 
-    private boolean maySendAgain(final AttemptEnd end) {
+    private boolean mayRetry(final AttemptEnd end) {
         if (!attempts.maySend() || remaining().isNegative() || remaining().isZero()) {
             return false;
         }
         if (end == AttemptEnd.NOT_SENT) {
             notSent++;
-            return notSent < MOST_NOT_SENT;
+            return notSent < MAX_NOT_SENT;
         }
-        return gateway.beliefs().budget(service).tryRepeat();
+        return gateway.state().retryBudget(service).tryRepeat();
     }
 
-    private void attempt() {
-        if (refusedAsQuarantined()) {
+    private void startAttempt() {
+        if (rejectedAsQuarantined()) {
             return;
         }
         final List<TrackedServer> candidates = candidates();
-        final Job job = outlook.job(service, models.model());
+        final Job job = waitEstimator.job(service, models.model());
         final Optional<TrackedServer> server =
                 gateway.placement()
                         .choose(candidates, job, mayProbe(), s -> attempts.tried(s.entry().id()));
@@ -308,30 +312,30 @@
 
     private void send(final TrackedServer server, final Job job, final int candidates) {
         attempts.begin(server.entry().id());
-        final AttemptMetadata dispatch =
+        final AttemptMetadata metadata =
                 new AttemptMetadata(
                         server.entry(),
                         remaining(),
                         access.map(TeamAccess::team),
-                        rank(),
+                        priority(),
                         models.model(),
-                        answer.lastEventId().or(request::lastEventId));
+                        response.lastEventId().or(request::lastEventId));
         final long expectedMillis = Math.round(gateway.placement().waitMillis(server, job));
-        log.sent(server, version, candidates, dispatch, expectedMillis);
+        log.sent(server, version, candidates, metadata, expectedMillis);
         if (!server.warmUpLeft().isZero()) {
-            gateway.metrics().sentToCold(service.value());
+            gateway.metrics().sentToWarmingUp(service.value());
         }
-        final Attempt attempt = new Attempt(this, server, pace(), job.readMillis());
-        open = Optional.of(attempt);
-        attempt.send(dispatch);
+        final Attempt attempt = new Attempt(this, server, latencyEstimator(), job.readMillis());
+        openAttempt = Optional.of(attempt);
+        attempt.send(metadata);
     }
 
     /**
-     * A stream that has not begun loses little by one connection in vain; a plain request has an
-     * objective about as long as that.
+     * Only streams that have not started may be sent to a backend server whose recovery is
+     * uncertain: a failed connection uses up little of their latency objective.
      */
     private boolean mayProbe() {
-        return isStream() && route.repeatable() && !answer.started();
+        return isStream() && route.repeatable() && !response.started();
     }
 
     private boolean hasOtherServer() {
@@ -340,17 +344,18 @@
                 .anyMatch(s -> s.health().tier() != ServerHealth.Tier.UNREACHABLE);
     }
 
-    /** A plain service knows no ranks. */
-    private OptionalInt rank() {
+    /** Returns the priority to send; requests without a prompt have none. */
+    private OptionalInt priority() {
         if (request.prompt().isEmpty() || !gateway.policy().uses(Mechanism.URGENCY)) {
             return OptionalInt.empty();
         }
-        final OptionalInt teamRank = access.map(TeamAccess::priority).orElse(OptionalInt.empty());
-        return OptionalInt.of(route.rank(teamRank));
+        final OptionalInt teamPriority =
+                access.map(TeamAccess::priority).orElse(OptionalInt.empty());
+        return OptionalInt.of(route.rank(teamPriority));
     }
 
-    private Pace pace() {
-        return gateway.beliefs().pace(service, models.model());
+    private Pace latencyEstimator() {
+        return gateway.state().latencyEstimator(service, models.model());
     }
 
     private void onFirstByte() {
@@ -363,24 +368,24 @@
             return;
         }
         final boolean mayHaveRun = attempts.mayHaveRun();
-        cancelOpen();
-        if (answer.started()) {
-            abort("timeout_in_stream");
+        cancelOpenAttempt();
+        if (response.started()) {
+            abortResponse("timeout_in_stream");
         } else {
-            refuse(mayHaveRun ? Refusal.TOO_LATE : Refusal.TOO_LATE_NOT_RUN);
+            reject(mayHaveRun ? GatewayError.TIMEOUT : GatewayError.TIMEOUT_NOT_RUN);
         }
     }
 
-    private void onCallerGone() {
+    private void onCallerDisconnected() {
         if (ended) {
             return;
         }
-        cancelOpen();
+        cancelOpenAttempt();
         finish("caller_gone", 0);
     }
 
-    private void abandonOpen(final AttemptEnd end) {
-        cancelOpen();
+    private void abandonOpenAttempt(final AttemptEnd end) {
+        cancelOpenAttempt();
         attempts.end(end);
     }
 
@@ -388,21 +393,21 @@
         return models.model().map(ModelId::value).orElse("-");
     }
 
-    private void cancelOpen() {
-        open.ifPresent(Attempt::cancel);
-        open = Optional.empty();
+    private void cancelOpenAttempt() {
+        openAttempt.ifPresent(Attempt::cancel);
+        openAttempt = Optional.empty();
     }
 
-    private void refuse(final Refusal refusal) {
-        refused.plain(refusal, Optional.ofNullable(service));
-        finish(refusal);
+    private void reject(final GatewayError error) {
+        errors.respond(error, Optional.ofNullable(service));
+        finish(error);
     }
 
-    private void finish(final Refusal refusal) {
-        finish(refusal.reason(), refusal.status());
+    private void finish(final GatewayError error) {
+        finish(error.reason(), error.status());
     }
 
-    private void abort(final String outcome) {
+    private void abortResponse(final String outcome) {
         exchange.abort();
         finish(outcome, 0);
     }
@@ -413,7 +418,7 @@
         }
         ended = true;
         timer.ifPresent(t -> t.cancel(false));
-        gateway.onEnd();
+        gateway.onRequestEnded();
         gateway.metrics().end(route.name(), outcome, elapsedMillis());
         log.finished(outcome, status, modelName(), confidence, elapsedMillis());
     }
@@ -431,6 +436,6 @@
     }
 
     private long now() {
-        return gateway.beliefs().clock().millis();
+        return gateway.state().clock().millis();
     }
 }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/RequestLog.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/RequestLog.java
@@ -15,15 +15,16 @@
 import org.fennelstage.serving.Route;
 
 /**
- * The log lines of one request: each decision with what decided it. Stateless but for the request's
- * names; confined to the event loop.
+ * Writes the log events of one request, each decision with its inputs.
+ *
+ * <p>Not thread-safe; confined to the event loop.
  */
 final class RequestLog {
 
     private static final String NONE = "-";
 
     private final CallerRequest request;
-    private final Fingerprint content;
+    private final Fingerprint fingerprint;
     private final String route;
     private final long objectiveMillis;
     private final long configurationVersion;
@@ -32,12 +33,12 @@
 
     RequestLog(
             final CallerRequest request,
-            final Fingerprint content,
+            final Fingerprint fingerprint,
             final Route route,
             final long configurationVersion,
             final AttemptLog attempts) {
         this.request = request;
-        this.content = content;
+        this.fingerprint = fingerprint;
         this.route = route.name();
         this.objectiveMillis = route.objective().toMillis();
         this.configurationVersion = configurationVersion;
@@ -48,14 +49,14 @@
             final TrackedServer server,
             final VersionChoice choice,
             final int candidates,
-            final AttemptMetadata dispatch,
+            final AttemptMetadata metadata,
             final long expectedMillis) {
         EventLog.write(
                 Event.REQUEST_SENT,
                 "request",
                 request.id(),
                 "content",
-                content,
+                fingerprint,
                 "route",
                 route,
                 "service",
@@ -65,7 +66,7 @@
                 "session",
                 request.session().orElse(NONE),
                 "team",
-                dispatch.team().map(TeamId::value).orElse(NONE),
+                metadata.team().map(TeamId::value).orElse(NONE),
                 "server",
                 server.entry().id(),
                 "version",
@@ -89,12 +90,12 @@
                 "candidates",
                 candidates,
                 "model",
-                dispatch.model().map(ModelId::value).orElse(NONE),
+                metadata.model().map(ModelId::value).orElse(NONE),
                 "remaining_ms",
-                dispatch.remaining().toMillis());
+                metadata.remaining().toMillis());
     }
 
-    void hopeless(final long waitMillis, final long remainingMillis) {
+    void waitTooLong(final long waitMillis, final long remainingMillis) {
         EventLog.write(
                 Event.REQUEST_REFUSED,
                 "request",
@@ -102,16 +103,16 @@
                 "route",
                 route,
                 "reason",
-                Refusal.NO_ROOM.reason(),
+                GatewayError.OVERLOADED.reason(),
                 "status",
-                Refusal.NO_ROOM.status(),
+                GatewayError.OVERLOADED.status(),
                 "expected_ms",
                 waitMillis,
                 "remaining_ms",
                 remainingMillis);
     }
 
-    void noneEligible(final Eligibility.Reasons reasons) {
+    void noEligibleServer(final Eligibility.Reasons reasons) {
         EventLog.write(
                 Event.REQUEST_REFUSED,
                 "request",
@@ -119,9 +120,9 @@
                 "route",
                 route,
                 "reason",
-                Refusal.NO_ELIGIBLE_SERVER.reason(),
+                GatewayError.NO_ELIGIBLE_SERVER.reason(),
                 "status",
-                Refusal.NO_ELIGIBLE_SERVER.status(),
+                GatewayError.NO_ELIGIBLE_SERVER.status(),
                 "evacuated",
                 reasons.evacuated(),
                 "cold",
@@ -130,21 +131,21 @@
                 reasons.wantNothing());
     }
 
-    void quarantined(final Duration left) {
+    void quarantined(final Duration remaining) {
         EventLog.write(
                 Event.REQUEST_REFUSED,
                 "request",
                 request.id(),
                 "content",
-                content,
+                fingerprint,
                 "route",
                 route,
                 "reason",
-                Refusal.QUARANTINED.reason(),
+                GatewayError.QUARANTINED.reason(),
                 "status",
-                Refusal.QUARANTINED.status(),
+                GatewayError.QUARANTINED.status(),
                 "left_ms",
-                left.toMillis());
+                remaining.toMillis());
     }
 
     void attemptFailed(final AttemptEnd end, final String detail, final long elapsedMillis) {
@@ -153,7 +154,7 @@
                 "request",
                 request.id(),
                 "content",
-                content,
+                fingerprint,
                 "end",
                 end,
                 "detail",
@@ -166,10 +167,10 @@
                 elapsedMillis);
     }
 
-    void dropped(
+    void responseDropped(
             final String model,
             final OptionalInt confidence,
-            final ModelId better,
+            final ModelId next,
             final long elapsedMillis) {
         EventLog.write(
                 Event.ANSWER_DROPPED,
@@ -180,12 +181,12 @@
                 "confidence",
                 confidence.orElse(-1),
                 "asked_next",
-                better,
+                next,
                 "elapsed_ms",
                 elapsedMillis);
     }
 
-    /** Notes when the caller got the first byte; zero if it got none. */
+    /** Records the time until the first byte for the caller; stays zero if none was sent. */
     void firstByte(final long elapsedMillis) {
         firstByteMillis = elapsedMillis;
     }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/ResponseHead.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/ResponseHead.java
@@ -7,14 +7,16 @@
 import java.util.OptionalInt;
 
 /**
- * The head of a worker's answer, decoded. Immutable but for its headers, which nobody changes.
+ * The decoded head of a backend server's response. Immutable except for the headers, which must not
+ * be modified.
  *
  * @param status the status code
- * @param trust what the worker says of the run
- * @param headers the headers that go on to the caller
- * @param confidence the model's own opinion of the answer, from 0 to 100; empty if not given
- * @param draining whether the worker says that it is about to stop and takes no new work
- * @param rejectsFor for how long the worker wants no request from this VM, if it says so
+ * @param trust what the response proves about the request
+ * @param headers the headers to forward to the caller
+ * @param confidence the confidence of the model in its answer, 0 to 100; empty if not given
+ * @param draining whether the backend server reports that it is draining
+ * @param rejectsFor how long the backend server rejects further requests of this VM, empty if not
+ *     given
  */
 public record ResponseHead(
         int status,
@@ -24,13 +26,13 @@
         boolean draining,
         Optional<Duration> rejectsFor) {
 
-    /** What an answer proves. */
+    /** What a response proves about the request. */
     public enum Trust {
-        /** The worker says that it did not run the request and never will. */
+        /** The backend server did not run the request and never will. */
         REJECTED,
-        /** The worker signed the answer: it is its own, whatever its status. */
+        /** The backend server signed the response, whatever its status. */
         SIGNED,
-        /** Nothing proves that the answer is the worker's: the request may have run. */
+        /** The response may come from an intermediary; the request may have run. */
         UNSIGNED
     }
 
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Sockets.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Sockets.java
@@ -3,16 +3,19 @@
 import java.net.InetSocketAddress;
 import org.fennelstage.fleet.ServerAddress;
 
-/** Turns the core's addresses, which know no network, into those of sockets. Stateless. */
+/**
+ * Converts addresses of the core, which has no network types, to socket addresses. Stateless and
+ * thread-safe.
+ */
 public final class Sockets {
 
     private Sockets() {}
 
     /**
-     * Returns an address for a socket.
+     * Returns the socket address for a server address.
      *
-     * @param address where somebody listens
-     * @return the same for a socket
+     * @param address the server address
+     * @return the socket address
      */
     public static InetSocketAddress address(final ServerAddress address) {
         return new InetSocketAddress(address.host(), address.port());
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/WireCodec.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/WireCodec.java
@@ -7,7 +7,7 @@
 import org.fennelstage.http.ServerExchange;
 
 /**
- * Translates between the names on the wire and the router's types. It decides nothing.
+ * Translates between the wire format and the types of the gateway; makes no decisions.
  *
  * <p>Implementations are stateless and thread-safe.
  */
@@ -17,44 +17,44 @@
      * Decodes a caller's request.
      *
      * @param exchange the request as received
-     * @return the request
-     * @throws MalformedRequestException if the request lacks what every request needs
+     * @return the decoded request
+     * @throws MalformedRequestException if a required header is missing or a value is invalid
      */
     CallerRequest decode(ServerExchange exchange) throws MalformedRequestException;
 
     /**
-     * Encodes a request for a worker.
+     * Encodes a request for a backend server.
      *
      * @param request the caller's request
-     * @param dispatch what goes with it
+     * @param metadata the metadata to add
      * @return the request to send
      */
-    FullHttpRequest encode(CallerRequest request, AttemptMetadata dispatch);
+    FullHttpRequest encode(CallerRequest request, AttemptMetadata metadata);
 
     /**
-     * Tells whether an answer belongs to a request.
+     * Returns whether a response belongs to a request.
      *
-     * @param headers the answer's headers
-     * @param requestId the request
-     * @return false if the answer names another request
+     * @param headers the headers of the response
+     * @param requestId the id of the request
+     * @return false if the response names another request
      */
     boolean matchesRequest(HttpHeaders headers, String requestId);
 
     /**
-     * Decodes the head of a worker's answer.
+     * Decodes the head of a backend server's response.
      *
      * @param status the status code
      * @param headers the headers
-     * @return the head
+     * @return the decoded head
      */
     ResponseHead decodeResponse(int status, HttpHeaders headers);
 
     /**
-     * Returns the headers of an answer of the router's own.
+     * Returns the headers of an error response that this VM generates.
      *
-     * @param requestId the request that is answered
-     * @param retryAfter how long the caller should wait before it asks again, empty if it should
-     *     not
+     * @param requestId the id of the request, empty if unknown
+     * @param retryAfter how long the caller should wait before a retry, empty if it should not
+     *     retry
      * @return the headers
      */
     HttpHeaders errorHeaders(String requestId, Optional<Duration> retryAfter);
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/package-info.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/package-info.java
@@ -1,2 +1,2 @@
-/** Serves callers: from a caller's request to a worker and back, on one event loop. */
+/** Forwards callers' requests to backend servers and returns the responses, on one event loop. */
 package org.fennelstage.gateway;
--- a/fennelstage-gateway/src/test/java/org/fennelstage/gateway/CrashDetectorTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/gateway/CrashDetectorTest.java
@@ -19,15 +19,15 @@
 
 class CrashDetectorTest {
 
-    private static final Fingerprint CONTENT = new Fingerprint(7);
+    private static final Fingerprint FINGERPRINT = new Fingerprint(7);
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final AtomicLong now = new AtomicLong(1_000_000);
-    private final List<Acquittal> told = new ArrayList<>();
-    private final CrashDetector answering = watch();
-    private final CrashDetector other = watch();
+    private final List<Acquittal> cleared = new ArrayList<>();
+    private final CrashDetector responding = detector();
+    private final CrashDetector other = detector();
 
-    private CrashDetector watch() {
+    private CrashDetector detector() {
         return new CrashDetector(now::get, new HttpClient(group.next()));
     }
 
@@ -36,45 +36,45 @@
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
 
-    private void workersEnd(final int count) {
+    private void crashServers(final int count) {
         for (int i = 0; i < count; i++) {
             final Incarnation server = Incarnation.of(BackendServerId.of("i-" + i));
-            final CrashReport report = new CrashReport(server, Set.of(CONTENT));
-            answering.onReport(report);
+            final CrashReport report = new CrashReport(server, Set.of(FINGERPRINT));
+            responding.onReport(report);
             other.onReport(report);
         }
     }
 
-    private void isAnswered() {
-        answering.onDetected(report -> {}, told::add);
-        answering.onAnswered(CONTENT);
-        told.forEach(other::onClearedCrashes);
+    private void receiveResponse() {
+        responding.onDetected(report -> {}, cleared::add);
+        responding.onResponse(FINGERPRINT);
+        cleared.forEach(other::onClearedCrashes);
     }
 
     @Test
-    void aRequestUnderWhichThreeWorkersEndedIsRefused() {
-        workersEnd(3);
-        assertThat(answering.refusal(CONTENT)).isPresent();
-        assertThat(other.refusal(CONTENT)).isPresent();
+    void aRequestWithThreeCrashesIsRejected() {
+        crashServers(3);
+        assertThat(responding.rejectionTime(FINGERPRINT)).isPresent();
+        assertThat(other.rejectionTime(FINGERPRINT)).isPresent();
     }
 
-    /** Guards against a sound request that a wave of crashes hits and all refuse for minutes. */
+    /** Guards against a long quarantine of a request that was hit by crashes it did not cause. */
     @Test
-    void anAnswerAfterTheThirdEndHasItServedAgainEverywhere() {
-        workersEnd(3);
-        isAnswered();
-        assertThat(answering.refusal(CONTENT)).isEmpty();
-        assertThat(other.refusal(CONTENT)).isEmpty();
+    void aResponseAfterTheThirdCrashEndsTheQuarantineEverywhere() {
+        crashServers(3);
+        receiveResponse();
+        assertThat(responding.rejectionTime(FINGERPRINT)).isEmpty();
+        assertThat(other.rejectionTime(FINGERPRINT)).isEmpty();
     }
 
     @Test
-    void threeFurtherEndsHaveItRefusedAgain() {
-        workersEnd(3);
-        isAnswered();
+    void threeFurtherCrashesQuarantineItAgain() {
+        crashServers(3);
+        receiveResponse();
         for (int i = 10; i < 13; i++) {
             final Incarnation server = Incarnation.of(BackendServerId.of("i-" + i));
-            answering.onReport(new CrashReport(server, Set.of(CONTENT)));
+            responding.onReport(new CrashReport(server, Set.of(FINGERPRINT)));
         }
-        assertThat(answering.refusal(CONTENT)).isPresent();
+        assertThat(responding.rejectionTime(FINGERPRINT)).isPresent();
     }
 }
--- a/fennelstage-gateway/src/test/java/org/fennelstage/gateway/EventSplitterTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/gateway/EventSplitterTest.java
@@ -27,7 +27,7 @@
                     });
 
     @Test
-    void onlyWholeEventsLeave() {
+    void onlyWholeEventsAreEmitted() {
         feed(STREAM);
         assertThat(ids).containsExactly("1", "2", "-");
         assertThat(splitter.hasPartial()).isTrue();
@@ -37,7 +37,7 @@
     }
 
     @Property
-    void eventsAreTheSameHoweverTheBytesAreCut(
+    void eventsDoNotDependOnChunkBoundaries(
             @ForAll @Size(max = 12) final List<@IntRange(min = 0, max = 70) Integer> cuts) {
         events.clear();
         final EventSplitter fresh =
