--- /dev/null
+++ b/fennelstage-core/src/test/java/org/fennelstage/attempt/LatencyEstimatorTest.java
@@ -0,0 +1,53 @@
+package org.fennelstage.attempt;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import org.junit.jupiter.api.Test;
+
+class LatencyEstimatorTest {
+
+    private final LatencyEstimator estimator = new LatencyEstimator();
+
+    /** Guards against attempts at a failed server that only the deadline of the request ends. */
+    @Test
+    void theFirstByteTimeoutIsShortForAFastServer() {
+        for (int i = 0; i < 200; i++) {
+            estimator.onFirstByte(50, 500);
+        }
+        assertThat(estimator.firstByteTimeoutMillis(500)).isBetween(700L, 1_000L);
+    }
+
+    @Test
+    void theFirstByteTimeoutGrowsWithThePrompt() {
+        for (int i = 0; i < 200; i++) {
+            estimator.onFirstByte(50, 500);
+        }
+        assertThat(estimator.firstByteTimeoutMillis(50_000)).isGreaterThan(8_000L);
+    }
+
+    @Test
+    void theNextByteTimeoutIsTheMaxPauseOrTheMinimum() {
+        assertThat(estimator.nextByteTimeoutMillis(1_000)).isEqualTo(1_000);
+        assertThat(estimator.nextByteTimeoutMillis(0)).isEqualTo(700);
+    }
+
+    /**
+     * Guards against a VM that has just started and rejects long prompts by its initial estimate.
+     */
+    @Test
+    void tenSamplesAreEnough() {
+        assertThat(estimator.hasEnoughSamples()).isFalse();
+        for (int i = 0; i < 10; i++) {
+            estimator.onFirstByte(50, 500);
+        }
+        assertThat(estimator.hasEnoughSamples()).isTrue();
+    }
+
+    @Test
+    void queuedResponsesHardlyIncreaseThePrefillEstimate() {
+        for (int i = 0; i < 300; i++) {
+            estimator.onFirstByte(i % 2 == 0 ? 50 : 2_000, 500);
+        }
+        assertThat(estimator.prefillMillisPerToken()).isBetween(0.05, 0.4);
+    }
+}
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Attempt.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Attempt.java
@@ -7,14 +7,14 @@
 import java.time.Duration;
 import java.util.Optional;
 import org.fennelstage.attempt.AttemptEnd;
-import org.fennelstage.attempt.Pace;
-import org.fennelstage.attempt.Silence;
-import org.fennelstage.attempt.UsualFailures;
+import org.fennelstage.attempt.BaselineFailureRate;
+import org.fennelstage.attempt.Inactivity;
+import org.fennelstage.attempt.LatencyEstimator;
 import org.fennelstage.fleet.TrackedServer;
 import org.fennelstage.http.Call;
 import org.fennelstage.http.CallFailure;
 import org.fennelstage.http.CallOptions;
-import org.fennelstage.http.ConnectionUse;
+import org.fennelstage.http.ConnectionPolicy;
 import org.fennelstage.http.ResponseListener;
 import org.fennelstage.placement.Prompt;
 import org.fennelstage.policy.Mechanism;
@@ -64,7 +64,7 @@
 
     private final RequestExecution execution;
     private final TrackedServer server;
-    private final Pace latencyEstimator;
+    private final LatencyEstimator latencyEstimator;
     private final long prefillMillis;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private final EventSplitter events = new EventSplitter(this::onEvent);
@@ -83,7 +83,7 @@
     Attempt(
             final RequestExecution execution,
             final TrackedServer server,
-            final Pace latencyEstimator,
+            final LatencyEstimator latencyEstimator,
             final long prefillMillis) {
         this.execution = execution;
         this.server = server;
@@ -113,12 +113,16 @@
         execution.gateway().attempts().add(this);
     }
 
-    private ConnectionUse connectionPolicy() {
+    private ConnectionPolicy connectionPolicy() {
         final int maxIdleConnections =
-                execution.gateway().state().connectionShare(execution.service()).mostIdle();
-        return execution.route().repeatable()
-                ? new ConnectionUse(MAX_IDLE_RETRYABLE, maxIdleConnections, Duration.ZERO)
-                : new ConnectionUse(
+                execution
+                        .gateway()
+                        .state()
+                        .connectionShare(execution.service())
+                        .maxIdleConnections();
+        return execution.route().retryable()
+                ? new ConnectionPolicy(MAX_IDLE_RETRYABLE, maxIdleConnections, Duration.ZERO)
+                : new ConnectionPolicy(
                         MAX_IDLE_NON_RETRYABLE, maxIdleConnections, FIRST_USE_DELAY_NON_RETRYABLE);
     }
 
@@ -152,9 +156,9 @@
         flowing = nowFlowing;
         if (nowFlowing) {
             lastByteMillis = now();
-            server.beginAnswer();
+            server.beginResponse();
         } else {
-            server.endAnswer();
+            server.endResponse();
         }
     }
 
@@ -213,7 +217,7 @@
             }
             fail(AttemptEnd.NOT_SENT, failure.detail());
         } else {
-            if (!failure.keptConnection()) {
+            if (!failure.reusedConnection()) {
                 recordHealth(true);
             }
             reportBroken();
@@ -245,7 +249,7 @@
 
     private void onByte() {
         lastByteMillis = now();
-        server.health().onSign();
+        server.health().onBytesReceived();
     }
 
     /**
@@ -256,16 +260,16 @@
         if (ended || isPaused()) {
             return;
         }
-        if (server.hasEnded() && now() - lastByteMillis >= RESTART_GRACE_MILLIS) {
+        if (server.isSuperseded() && now() - lastByteMillis >= RESTART_GRACE_MILLIS) {
             failAfterRestart();
             return;
         }
-        final Silence inactivity =
-                new Silence(
+        final Inactivity inactivity =
+                new Inactivity(
                         now() - lastByteMillis,
-                        server.health().silentMillis(),
+                        server.health().millisSinceLastByte(),
                         server.stalledMillis(),
-                        usesStallDetection() ? server.begunAnswers() : 0);
+                        usesStallDetection() ? server.begunResponses() : 0);
         if (!inactivity.exceeds(inactivityTimeoutMillis())) {
             return;
         }
@@ -274,9 +278,9 @@
                         + " silent for "
                         + inactivity.serverMillis()
                         + " ms, this request "
-                        + inactivity.ownMillis()
+                        + inactivity.requestMillis()
                         + " ms, responses started "
-                        + inactivity.begunAnswers();
+                        + inactivity.begunResponses();
         reportBroken();
         execution.gateway().onInactive(server);
         execution.onInactive(detail);
@@ -298,8 +302,8 @@
 
     private long inactivityTimeoutMillis() {
         return head.isEmpty()
-                ? latencyEstimator.firstBytePatience(promptTokens())
-                : latencyEstimator.nextBytePatience(execution.route().maxPause().toMillis());
+                ? latencyEstimator.firstByteTimeoutMillis(promptTokens())
+                : latencyEstimator.nextByteTimeoutMillis(execution.route().maxPause().toMillis());
     }
 
     private int promptTokens() {
@@ -316,7 +320,7 @@
         latencyEstimator.onEnd(now() - sentMillis);
         execution
                 .canary()
-                .onAnswer(server.entry().id(), server.entry().version(), failed, latencyMillis());
+                .onResponse(server.entry().id(), server.entry().version(), failed, latencyMillis());
         if (failed) {
             final byte[] content = body.toByteArray();
             fail(
@@ -377,7 +381,7 @@
     private void markPromptRead() {
         if (!promptRead) {
             promptRead = true;
-            server.onRead(prefillMillis);
+            server.onPromptRead(prefillMillis);
         }
     }
 
@@ -394,10 +398,10 @@
     }
 
     private void recordHealth(final boolean failed) {
-        final UsualFailures baseline =
+        final BaselineFailureRate baseline =
                 execution.gateway().state().baselineFailureRate(execution.route().name());
         server.health().onEnd(failed, baseline.share());
-        baseline.onAnswer(failed);
+        baseline.onResponse(failed);
     }
 
     /**
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/CrashDetector.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/CrashDetector.java
@@ -5,15 +5,15 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.fennelstage.crash.Acquittal;
-import org.fennelstage.crash.BrokenRuns;
+import org.fennelstage.crash.ClearedCrashes;
 import org.fennelstage.crash.CrashLedger;
 import org.fennelstage.crash.CrashReport;
 import org.fennelstage.crash.Fingerprint;
 import org.fennelstage.crash.Quarantine;
+import org.fennelstage.crash.SuspectedCrashes;
 import org.fennelstage.fleet.Incarnation;
 import org.fennelstage.fleet.TrackedServer;
-import org.fennelstage.http.ConnectionUse;
+import org.fennelstage.http.ConnectionPolicy;
 import org.fennelstage.http.HttpClient;
 import org.fennelstage.http.ProbeResult;
 import org.fennelstage.log.Event;
@@ -51,17 +51,17 @@
      * A connection opened by a probe may carry the next request. The delay before its first use
      * guards against a crashing process that still accepts a connection.
      */
-    private static final ConnectionUse PROBE_CONNECTION =
-            new ConnectionUse(Duration.ofSeconds(4), 1, Duration.ofMillis(50));
+    private static final ConnectionPolicy PROBE_CONNECTION =
+            new ConnectionPolicy(Duration.ofSeconds(4), 1, Duration.ofMillis(50));
 
     private final HttpClient client;
     private final CrashLedger ledger;
     private final Quarantine quarantine;
-    private final BrokenRuns suspected = BrokenRuns.empty();
+    private final SuspectedCrashes suspected = SuspectedCrashes.empty();
     private Consumer<TrackedServer> crashListener = server -> {};
     private Consumer<Fingerprint> quarantineListener = fingerprint -> {};
     private Consumer<CrashReport> reportListener = report -> {};
-    private Consumer<Acquittal> clearedListener = cleared -> {};
+    private Consumer<ClearedCrashes> clearedListener = cleared -> {};
     private Runnable storeListener = () -> {};
     private Consumer<Fingerprint> quarantineLiftedListener = fingerprint -> {};
 
@@ -93,7 +93,8 @@
      * @param cleared receives requests that got a response, with the crashes that no longer count
      *     against them
      */
-    public void onDetected(final Consumer<CrashReport> reports, final Consumer<Acquittal> cleared) {
+    public void onDetected(
+            final Consumer<CrashReport> reports, final Consumer<ClearedCrashes> cleared) {
         reportListener = Objects.requireNonNull(reports, "reports is null");
         clearedListener = Objects.requireNonNull(cleared, "cleared is null");
     }
@@ -131,12 +132,12 @@
      * @return the time, empty if the request may be sent
      */
     Optional<Duration> rejectionTime(final Fingerprint fingerprint) {
-        final Optional<Duration> remaining = quarantine.left(fingerprint);
+        final Optional<Duration> remaining = quarantine.remaining(fingerprint);
         if (remaining.isPresent()) {
             return remaining;
         }
         final int crashes = ledger.crashes(fingerprint) + suspected.count(fingerprint);
-        return crashes >= CrashLedger.MOST_CRASHES
+        return crashes >= CrashLedger.MAX_CRASHES
                 ? Optional.of(PROBE_RETRY_AFTER)
                 : Optional.empty();
     }
@@ -177,7 +178,7 @@
                 "requests",
                 fingerprints.size());
         final boolean onlyServerSilent =
-                result == ProbeResult.SILENT && server.health().isDataCentreHeard();
+                result == ProbeResult.SILENT && server.health().isDataCentreReachable();
         if (result != ProbeResult.REFUSED && !onlyServerSilent) {
             return;
         }
@@ -205,7 +206,7 @@
                         "ends",
                         crashes);
             }
-            if (crashes >= CrashLedger.MOST_CRASHES) {
+            if (crashes >= CrashLedger.MAX_CRASHES) {
                 quarantine(fingerprint, "server crashes");
             }
         }
@@ -215,9 +216,9 @@
      * Clears a request that got a response, since a request that crashes backend servers gets none.
      */
     void onResponse(final Fingerprint fingerprint) {
-        final Set<Incarnation> cleared = ledger.onAnswered(fingerprint);
+        final Set<Incarnation> cleared = ledger.onResponse(fingerprint);
         if (!cleared.isEmpty()) {
-            clearedListener.accept(new Acquittal(fingerprint, cleared));
+            clearedListener.accept(new ClearedCrashes(fingerprint, cleared));
             liftQuarantine(fingerprint);
         }
     }
@@ -228,7 +229,7 @@
      */
     private void liftQuarantine(final Fingerprint fingerprint) {
         if (quarantine.release(fingerprint)) {
-            EventLog.write(Event.QUARANTINE_OVER, "content", fingerprint, "source", "answer");
+            EventLog.write(Event.QUARANTINE_ENDED, "content", fingerprint, "source", "answer");
             quarantineLiftedListener.accept(fingerprint);
         }
     }
@@ -238,7 +239,7 @@
      *
      * @param cleared the request, and the crashes that no longer count against it
      */
-    public void onClearedCrashes(final Acquittal cleared) {
+    public void onClearedCrashes(final ClearedCrashes cleared) {
         ledger.clear(cleared);
         liftQuarantine(cleared.content());
     }
@@ -270,9 +271,9 @@
      * @param fingerprint the request
      */
     public void release(final Fingerprint fingerprint) {
-        ledger.onAnswered(fingerprint);
+        ledger.onResponse(fingerprint);
         if (quarantine.release(fingerprint)) {
-            EventLog.write(Event.QUARANTINE_OVER, "content", fingerprint, "source", "store");
+            EventLog.write(Event.QUARANTINE_ENDED, "content", fingerprint, "source", "store");
         }
     }
 }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Gateway.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Gateway.java
@@ -214,17 +214,17 @@
      */
     void onServerDraining(final TrackedServer server) {
         final Incarnation incarnation = server.entry().incarnation();
-        if (state.servers().onLeaving(incarnation)) {
-            EventLog.write(Event.SERVER_LEAVES, "server", incarnation, "source", "response");
+        if (state.servers().onDraining(incarnation)) {
+            EventLog.write(Event.SERVER_DRAINING, "server", incarnation, "source", "response");
             drainingListener.accept(incarnation);
         }
     }
 
     /** Records that a backend server rejects requests of this VM for a time. */
     void onRejecting(final TrackedServer server, final Duration time) {
-        server.onTurnedAway(time);
+        server.onRejected(time);
         EventLog.write(
-                Event.SERVER_TURNS_AWAY,
+                Event.SERVER_REJECTING,
                 "server",
                 server.entry().incarnation(),
                 "for_ms",
@@ -254,7 +254,7 @@
                 "server",
                 entry.id(),
                 "born_ms",
-                entry.incarnation().bornMillis(),
+                entry.incarnation().startMillis(),
                 "running",
                 former.running());
         client.closeIdle(Sockets.address(entry.address()));
@@ -289,7 +289,7 @@
             final GatewayError error,
             final String detail) {
         EventLog.write(
-                Event.REQUEST_REFUSED,
+                Event.REQUEST_REJECTED,
                 "request",
                 requestId,
                 "reason",
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/GatewayState.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/GatewayState.java
@@ -10,9 +10,9 @@
 import java.util.Objects;
 import java.util.Optional;
 import java.util.Set;
-import org.fennelstage.attempt.Pace;
-import org.fennelstage.attempt.RepeatBudget;
-import org.fennelstage.attempt.UsualFailures;
+import org.fennelstage.attempt.BaselineFailureRate;
+import org.fennelstage.attempt.LatencyEstimator;
+import org.fennelstage.attempt.WindowedRetryBudget;
 import org.fennelstage.canary.Canary;
 import org.fennelstage.fleet.ConnectionShare;
 import org.fennelstage.fleet.Eligibility;
@@ -29,7 +29,7 @@
 import org.fennelstage.serving.Service;
 import org.fennelstage.serving.ServingConfiguration;
 import org.fennelstage.serving.WarmUp;
-import org.fennelstage.sizing.Opinions;
+import org.fennelstage.sizing.ConfidenceGains;
 import org.fennelstage.time.MonotonicClock;
 
 /**
@@ -61,10 +61,10 @@
     private final WarmUpShares warmUpShares = WarmUpShares.empty();
     private final Eligibility eligibility;
     private final Map<ServiceName, Canary> canaries = new HashMap<>();
-    private final Map<ServiceName, RepeatBudget> retryBudgets = new HashMap<>();
-    private final Map<String, UsualFailures> baselineFailureRates = new HashMap<>();
-    private final Map<String, Pace> latencyEstimators = new HashMap<>();
-    private final Map<String, Opinions> confidenceGains = new HashMap<>();
+    private final Map<ServiceName, WindowedRetryBudget> retryBudgets = new HashMap<>();
+    private final Map<String, BaselineFailureRate> baselineFailureRates = new HashMap<>();
+    private final Map<String, LatencyEstimator> latencyEstimators = new HashMap<>();
+    private final Map<String, ConfidenceGains> confidenceGains = new HashMap<>();
     private Optional<ServingConfiguration> configuration = Optional.empty();
     private int vmCount;
     private Position ordersReadUpTo = Position.NONE;
@@ -84,7 +84,8 @@
         this.servers = ServerTable.of(clock);
         this.evacuations = Evacuations.empty(clock);
         this.eligibility =
-                new Eligibility(evacuations, warmUpShares, this::warmUp, this.servers::isStoreAway);
+                new Eligibility(
+                        evacuations, warmUpShares, this::warmUp, this.servers::isStoreUnavailable);
     }
 
     public MonotonicClock clock() {
@@ -151,14 +152,14 @@
     }
 
     /** Returns the latency statistics of a service's backend servers with one model. */
-    Pace latencyEstimator(final ServiceName service, final Optional<ModelId> model) {
+    LatencyEstimator latencyEstimator(final ServiceName service, final Optional<ModelId> model) {
         final String key = service + "/" + model.map(ModelId::value).orElse("");
-        return latencyEstimators.computeIfAbsent(key, k -> new Pace());
+        return latencyEstimators.computeIfAbsent(key, k -> new LatencyEstimator());
     }
 
     /** Returns the confidence statistics of the models of a route. */
-    Opinions confidenceGains(final String route) {
-        return confidenceGains.computeIfAbsent(route, r -> Opinions.empty());
+    ConfidenceGains confidenceGains(final String route) {
+        return confidenceGains.computeIfAbsent(route, r -> ConfidenceGains.empty());
     }
 
     private double retrySlackShare() {
@@ -206,21 +207,21 @@
     public void onEvacuationEnded(final DataCentreId dataCentre) {
         servers.all().stream()
                 .filter(server -> server.entry().dataCentre().equals(dataCentre))
-                .forEach(eligibility::onTakenBack);
+                .forEach(eligibility::onEvacuationEnded);
     }
 
     /**
      * Returns the statistics of the share of a route's requests that fail at any backend server.
      */
-    UsualFailures baselineFailureRate(final String route) {
-        return baselineFailureRates.computeIfAbsent(route, r -> new UsualFailures());
+    BaselineFailureRate baselineFailureRate(final String route) {
+        return baselineFailureRates.computeIfAbsent(route, r -> new BaselineFailureRate());
     }
 
-    RepeatBudget retryBudget(final ServiceName service) {
+    WindowedRetryBudget retryBudget(final ServiceName service) {
         return retryBudgets.computeIfAbsent(
                 service,
                 s ->
-                        RepeatBudget.of(
+                        WindowedRetryBudget.of(
                                 clock,
                                 settings.retryWindow(),
                                 settings.retryRatio(),
@@ -259,8 +260,8 @@
      * and backend servers rewrite what was lost.
      */
     public void onStoreRestored() {
-        servers.onStoreReplaced();
-        canaries.values().forEach(Canary::onStoreReplaced);
+        servers.onStoreRestored();
+        canaries.values().forEach(Canary::onStoreRestored);
         inRestoreGrace = true;
         restoreGraceEndMillis = clock.millis() + REWRITE_MILLIS;
     }
@@ -325,7 +326,7 @@
         }
         final Canary canary = canary(entry.service());
         if (!inRestoreGrace || !canary.hasVersionInUse()) {
-            canary.onUnordered(entry.version());
+            canary.onVersionWithoutOrder(entry.version());
         }
     }
 
@@ -347,7 +348,7 @@
         for (final TrackedServer server : usable) {
             if (canary.admits(server.entry().version(), toNew)) {
                 anyAdmitted = true;
-                if (eligibility.mayGet(server)) {
+                if (eligibility.isEligible(server)) {
                     eligible.add(server);
                 }
             }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/ModelChoice.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/ModelChoice.java
@@ -6,7 +6,7 @@
 import java.util.function.Predicate;
 import org.fennelstage.id.ModelId;
 import org.fennelstage.serving.Route;
-import org.fennelstage.sizing.Opinions;
+import org.fennelstage.sizing.ConfidenceGains;
 import org.fennelstage.sizing.SizePlan;
 
 /**
@@ -20,16 +20,16 @@
     private record ModelConfidence(ModelId model, int value) {}
 
     private final SizePlan sizes;
-    private final Opinions confidenceGains;
+    private final ConfidenceGains confidenceGains;
     private Optional<ModelConfidence> first = Optional.empty();
 
-    private ModelChoice(final SizePlan sizes, final Opinions confidenceGains) {
+    private ModelChoice(final SizePlan sizes, final ConfidenceGains confidenceGains) {
         this.sizes = sizes;
         this.confidenceGains = confidenceGains;
     }
 
     static ModelChoice of(final Route route, final Gateway gateway) {
-        final Opinions confidenceGains = gateway.state().confidenceGains(route.name());
+        final ConfidenceGains confidenceGains = gateway.state().confidenceGains(route.name());
         return new ModelChoice(
                 SizePlan.of(route, confidenceGains, gateway.policy()), confidenceGains);
     }
@@ -52,7 +52,7 @@
         if (confidence.isPresent() && sizes.model().isPresent()) {
             observe(new ModelConfidence(sizes.model().get(), confidence.getAsInt()));
         }
-        return sizes.better(confidence, canMeetDeadline);
+        return sizes.nextModel(confidence, canMeetDeadline);
     }
 
     void escalate(final ModelId model) {
@@ -65,7 +65,7 @@
             first = Optional.of(now);
         } else if (!first.get().model().equals(now.model())) {
             final ModelConfidence before = first.get();
-            confidenceGains.onBoth(before.model(), before.value(), now.model(), now.value());
+            confidenceGains.observe(before.model(), before.value(), now.model(), now.value());
         }
     }
 }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/RequestExecution.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/RequestExecution.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 import org.fennelstage.attempt.AttemptEnd;
 import org.fennelstage.attempt.AttemptLog;
-import org.fennelstage.attempt.Pace;
+import org.fennelstage.attempt.LatencyEstimator;
 import org.fennelstage.canary.Canary;
 import org.fennelstage.canary.VersionChoice;
 import org.fennelstage.crash.Fingerprint;
@@ -74,7 +74,7 @@
         this.request = request;
         this.route = route;
         this.access = access;
-        this.attempts = AttemptLog.of(route.repeatable(), route.maxServers());
+        this.attempts = AttemptLog.of(route.retryable(), route.maxServers());
         this.fingerprint = request.fingerprint();
         this.log = new RequestLog(request, fingerprint, route, configuration.version(), attempts);
         this.models = ModelChoice.of(route, gateway);
@@ -239,7 +239,7 @@
                 response.started()
                         || nextModel.isEmpty()
                         || attempts.sent() >= route.maxServers()
-                        || !gateway.state().retryBudget(service).tryRepeat();
+                        || !gateway.state().retryBudget(service).tryRetry();
         if (keep) {
             return false;
         }
@@ -258,10 +258,10 @@
      */
     void onInactive(final String detail) {
         final boolean keep =
-                !route.repeatable()
+                !route.retryable()
                         || attempts.sent() >= route.maxServers()
                         || !hasOtherServer()
-                        || !gateway.state().retryBudget(service).tryRepeat();
+                        || !gateway.state().retryBudget(service).tryRetry();
         if (keep) {
             return;
         }
@@ -291,7 +291,7 @@
             notSent++;
             return notSent < MAX_NOT_SENT;
         }
-        return gateway.state().retryBudget(service).tryRepeat();
+        return gateway.state().retryBudget(service).tryRetry();
     }
 
     private void startAttempt() {
@@ -335,7 +335,7 @@
      * uncertain: a failed connection uses up little of their latency objective.
      */
     private boolean mayProbe() {
-        return isStream() && route.repeatable() && !response.started();
+        return isStream() && route.retryable() && !response.started();
     }
 
     private boolean hasOtherServer() {
@@ -351,10 +351,10 @@
         }
         final OptionalInt teamPriority =
                 access.map(TeamAccess::priority).orElse(OptionalInt.empty());
-        return OptionalInt.of(route.rank(teamPriority));
+        return OptionalInt.of(route.effectivePriority(teamPriority));
     }
 
-    private Pace latencyEstimator() {
+    private LatencyEstimator latencyEstimator() {
         return gateway.state().latencyEstimator(service, models.model());
     }
 
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/RequestLog.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/RequestLog.java
@@ -72,7 +72,7 @@
                 "version",
                 server.entry().version(),
                 "chosen_by",
-                choice.ground(),
+                choice.reason(),
                 "meant_for_new",
                 choice.toNew(),
                 "entry_revision",
@@ -97,7 +97,7 @@
 
     void waitTooLong(final long waitMillis, final long remainingMillis) {
         EventLog.write(
-                Event.REQUEST_REFUSED,
+                Event.REQUEST_REJECTED,
                 "request",
                 request.id(),
                 "route",
@@ -114,7 +114,7 @@
 
     void noEligibleServer(final Eligibility.Reasons reasons) {
         EventLog.write(
-                Event.REQUEST_REFUSED,
+                Event.REQUEST_REJECTED,
                 "request",
                 request.id(),
                 "route",
@@ -126,14 +126,14 @@
                 "evacuated",
                 reasons.evacuated(),
                 "cold",
-                reasons.cold(),
+                reasons.warmingUp(),
                 "want_nothing",
-                reasons.wantNothing());
+                reasons.rejecting());
     }
 
     void quarantined(final Duration remaining) {
         EventLog.write(
-                Event.REQUEST_REFUSED,
+                Event.REQUEST_REJECTED,
                 "request",
                 request.id(),
                 "content",
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/WaitEstimator.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/WaitEstimator.java
@@ -5,7 +5,7 @@
 import java.util.Objects;
 import java.util.Optional;
 import java.util.OptionalDouble;
-import org.fennelstage.attempt.Pace;
+import org.fennelstage.attempt.LatencyEstimator;
 import org.fennelstage.fleet.TrackedServer;
 import org.fennelstage.id.ModelId;
 import org.fennelstage.id.ServiceName;
@@ -38,14 +38,14 @@
 
     /** Returns the request as input for placement. */
     Job job(final ServiceName service, final Optional<ModelId> model) {
-        final Pace latency = gateway.state().latencyEstimator(service, model);
+        final LatencyEstimator latency = gateway.state().latencyEstimator(service, model);
         final boolean cacheAware = gateway.policy().uses(Mechanism.MEMORY_AFFINITY);
         return new Job(
                 request.prompt(),
                 model,
                 cacheAware,
-                latency.readMillisPerToken(),
-                latency.answerMillis());
+                latency.prefillMillisPerToken(),
+                latency.responseMillis());
     }
 
     /**
@@ -58,10 +58,10 @@
             final ServiceName service,
             final List<TrackedServer> candidates,
             final Optional<ModelId> model) {
-        if (!gateway.state().latencyEstimator(service, model).known()) {
+        if (!gateway.state().latencyEstimator(service, model).hasEnoughSamples()) {
             return OptionalDouble.empty();
         }
-        return gateway.placement().leastWaitMillis(candidates, job(service, model));
+        return gateway.placement().minWaitMillis(candidates, job(service, model));
     }
 
     /**
