--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/ConfigurationFeed.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/ConfigurationFeed.java
@@ -10,7 +10,7 @@
 import org.fennelstage.store.Follower;
 import org.fennelstage.store.StoredValue;
 
-/** Brings configurations into force. Confined to the event loop. */
+/** Applies configurations from the store. Not thread-safe; confined to the event loop. */
 final class ConfigurationFeed implements Follower.Listener<ServingConfiguration> {
 
     private final Beliefs beliefs;
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/Drain.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/Drain.java
@@ -5,29 +5,29 @@
 import org.fennelstage.time.MonotonicClock;
 
 /**
- * Decides when a process that was asked to stop may end.
+ * Decides when a stopping process may exit.
  *
- * <p>The balancer notices only after some failed questions that the VM takes no more callers; new
- * connections come until then. A process that ended earlier would reset them. Not thread-safe.
+ * <p>The balancer detects the failing health check with a delay; an earlier exit would reset the
+ * connections that it opens until then. Not thread-safe.
  */
 final class Drain {
 
     /**
-     * How long new connections may still come: the balancer asks once a second and needs two
-     * failures in a row; the rest is for connections on their way. Milliseconds.
+     * Time until the balancer opens no more connections: two failed health checks, one a second,
+     * and a reserve for connections being opened; milliseconds.
      */
-    private static final long BALANCER_MILLIS = 2_500;
+    private static final long BALANCER_DELAY_MILLIS = 2_500;
 
-    /** Left of the grace for the end of the process itself; milliseconds. */
+    /** Part of the grace period reserved for the exit itself; milliseconds. */
     private static final long RESERVE_MILLIS = 400;
 
     private final MonotonicClock clock;
-    private final long begunMillis;
+    private final long startMillis;
     private final long graceMillis;
 
     private Drain(final MonotonicClock clock, final long graceMillis) {
         this.clock = clock;
-        this.begunMillis = clock.millis();
+        this.startMillis = clock.millis();
         this.graceMillis = graceMillis;
     }
 
@@ -37,20 +37,19 @@
     }
 
     /**
-     * Tells whether no new callers come any more. Kept connections on which nothing is asked are to
-     * be closed then: a long request that a caller begins late on one of them could not end within
-     * the grace.
+     * Returns whether the balancer has stopped sending callers. Idle connections are closed from
+     * then on: a long request that starts late on one could not finish within the grace period.
      */
-    boolean balancerKnows() {
-        return elapsedMillis() >= BALANCER_MILLIS;
+    boolean isBalancerInformed() {
+        return elapsedMillis() >= BALANCER_DELAY_MILLIS;
     }
 
-    boolean mayEnd(final int requestsInFlight) {
-        final boolean idle = requestsInFlight == 0 && balancerKnows();
+    boolean mayExit(final int requestsInFlight) {
+        final boolean idle = requestsInFlight == 0 && isBalancerInformed();
         return idle || elapsedMillis() >= graceMillis - RESERVE_MILLIS;
     }
 
     private long elapsedMillis() {
-        return clock.millis() - begunMillis;
+        return clock.millis() - startMillis;
     }
 }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/EvacuationFeed.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/EvacuationFeed.java
@@ -15,14 +15,16 @@
 import org.fennelstage.store.StoreKind;
 import org.fennelstage.store.StoredValue;
 
-/** Brings the operators' orders to empty data centres into force. Confined to the event loop. */
+/**
+ * Applies the operators' evacuations from the store. Not thread-safe; confined to the event loop.
+ */
 final class EvacuationFeed implements Follower.Listener<DataCentreId> {
 
     private final Beliefs beliefs;
     private final Evacuations evacuations;
     private final Runnable afterList;
-    private boolean unsettled;
-    private long settledAtMillis;
+    private boolean awaitingRewrites;
+    private long rewritesEndMillis;
 
     EvacuationFeed(final Beliefs beliefs, final Runnable afterList) {
         this.beliefs = Objects.requireNonNull(beliefs, "beliefs is null");
@@ -37,8 +39,10 @@
                         .map(StoredValue::value)
                         .flatMap(Optional::stream)
                         .collect(Collectors.toSet());
-        listed.stream().filter(dc -> !evacuations.includes(dc)).forEach(dc -> logBegun(dc, "list"));
-        evacuations.replaceAll(listed).forEach(dc -> onTakenBack(dc, "list"));
+        listed.stream()
+                .filter(dc -> !evacuations.includes(dc))
+                .forEach(dc -> logStarted(dc, "list"));
+        evacuations.replaceAll(listed).forEach(dc -> onEnded(dc, "list"));
         afterList.run();
     }
 
@@ -47,12 +51,12 @@
         if (change.value().isPresent()) {
             final DataCentreId dataCentre = change.value().get();
             if (evacuations.begin(dataCentre)) {
-                logBegun(dataCentre, change.position());
+                logStarted(dataCentre, change.position());
             }
         } else {
             dataCentre(change.name())
                     .filter(evacuations::end)
-                    .ifPresent(dc -> onTakenBack(dc, change.position()));
+                    .ifPresent(dc -> onEnded(dc, change.position()));
         }
     }
 
@@ -64,31 +68,31 @@
     @Override
     public void onReplaced() {
         evacuations.onStoreReplaced();
-        unsettled = true;
-        settledAtMillis = beliefs.clock().millis() + Beliefs.REWRITE_MILLIS;
+        awaitingRewrites = true;
+        rewritesEndMillis = beliefs.clock().millis() + Beliefs.REWRITE_MILLIS;
     }
 
     /**
-     * Takes the store at its word again, once operators have had the time to write again what it
-     * lost. To be called a few times a second.
+     * Ends evacuations that a restored store lacks, once operators have had time to write them
+     * again. Called a few times a second.
      */
-    void settle() {
-        if (unsettled && beliefs.clock().millis() >= settledAtMillis) {
-            unsettled = false;
-            evacuations.settle().forEach(dc -> onTakenBack(dc, "settled"));
+    void endUnconfirmed() {
+        if (awaitingRewrites && beliefs.clock().millis() >= rewritesEndMillis) {
+            awaitingRewrites = false;
+            evacuations.settle().forEach(dc -> onEnded(dc, "settled"));
         }
     }
 
-    private void onTakenBack(final DataCentreId dataCentre, final Object source) {
+    private void onEnded(final DataCentreId dataCentre, final Object source) {
         beliefs.onTakenBack(dataCentre);
         EventLog.write(Event.EVACUATION_ENDED, "data_centre", dataCentre, "source", source);
     }
 
-    private static void logBegun(final DataCentreId dataCentre, final Object source) {
+    private static void logStarted(final DataCentreId dataCentre, final Object source) {
         EventLog.write(Event.EVACUATION_BEGUN, "data_centre", dataCentre, "source", source);
     }
 
-    /** Another writer may use names that no data centre can have; those name none. */
+    /** Returns the data centre of a name, empty if the name is invalid. */
     private static Optional<DataCentreId> dataCentre(final String name) {
         try {
             return Optional.of(DataCentreId.of(name));
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/GatewayVm.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/GatewayVm.java
@@ -39,15 +39,15 @@
 import org.fennelstage.time.MonotonicClock;
 
 /**
- * One VM: its servers, its followers of the store, its gateway.
+ * Connects the parts of one VM: its listeners, its followers of the store and its gateway.
  *
- * <p>Everything runs on one event loop: the VMs have less than one core, and a request that never
- * changes threads needs no locks. {@link #stop} may be called from any thread.
+ * <p>Everything runs on one event loop: VMs have less than one core, and a request that stays on
+ * one thread needs no locks. {@link #stop} and {@link #apply} may be called from any thread.
  */
 public final class GatewayVm {
 
-    /** How often silent workers, lapsed workers and due writes are looked for; milliseconds. */
-    private static final long DUTY_MILLIS = 100;
+    /** Time between two runs of the periodic tasks; milliseconds. */
+    private static final long PERIODIC_TASK_MILLIS = 100;
 
     private VmSettings settings;
     private final NioEventLoopGroup group;
@@ -59,11 +59,11 @@
     private final RolloutFeed rolloutFeed;
     private final QuarantineFeed quarantineFeed;
     private final EvacuationFeed evacuationFeed;
-    private final CrashNews crashNews;
+    private final CrashBroadcast crashBroadcast;
     private final LoadReports loadReports;
     private final RolloutAges rolloutAges;
-    private final PeerInbox inbox;
-    private final HttpServer callers;
+    private final PeerMessageDispatcher dispatcher;
+    private final HttpServer callerListener;
     private final EraTracker eras = EraTracker.empty();
     private final Readiness readiness;
     private boolean stopping;
@@ -79,20 +79,20 @@
         final MonotonicClock clock = () -> TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
         final RandomGenerator random = RandomGenerator.of("L64X128MixRandom");
         this.beliefs = new Beliefs(clock, settings.bounds());
-        final HttpClient workers = new HttpClient(loop);
+        final HttpClient serverClient = new HttpClient(loop);
         final HttpClient storeClient = new HttpClient(loop);
         final Peers peers =
                 new Peers(
                         ownEntry(settings),
                         address -> storeAt.apply(storeClient, Sockets.address(address)),
                         beliefs::onVmCount);
-        peers.onFleet(others -> beliefs.onVms(settings.vm(), others));
-        final LoadBoard loadBoard = LoadBoard.of(clock, peers::othersPerSharer);
+        peers.onFleetKnown(others -> beliefs.onVms(settings.vm(), others));
+        final LoadBoard loadBoard = LoadBoard.of(clock, peers::othersPerLoadPeer);
         this.gateway =
                 new Gateway(
                         beliefs,
                         codec,
-                        workers,
+                        serverClient,
                         Placement.of(settings.dataCentre(), random, loadBoard),
                         random,
                         metrics,
@@ -102,7 +102,10 @@
                         storeAt.apply(storeClient, settings.store()), peers::relays, clock);
         final CoalescedStore coalesced =
                 new CoalescedStore(
-                        store, peers::coalescing, () -> this.settings.bounds().newsDelay(), clock);
+                        store,
+                        peers::coalescingRelays,
+                        () -> this.settings.bounds().newsDelay(),
+                        clock);
         this.readiness = new Readiness(settings, beliefs);
         this.serverFeed = new ServerFeed(beliefs, readiness::onServersListed);
         this.rolloutFeed =
@@ -110,59 +113,69 @@
                         beliefs,
                         store,
                         InstantSource.system(),
-                        peers::turn,
+                        peers::rankFor,
                         readiness::onRolloutsListed);
         this.quarantineFeed =
                 new QuarantineFeed(
                         gateway.crashes(),
                         store,
-                        peers::turn,
+                        peers::rankFor,
                         clock,
                         readiness::onQuarantineListed);
         gateway.crashes().onQuarantined(quarantineFeed::writeDue);
         this.evacuationFeed = new EvacuationFeed(beliefs, readiness::onEvacuationsListed);
-        this.callers =
+        this.callerListener =
                 HttpServer.start(group, settings.callers(), this::limits, Optional::empty, gateway);
-        startSideServers(storeClient, store, workers);
-        final PeerNews news =
-                PeerNews.start(
+        startInternalListeners(storeClient, store, serverClient);
+        final PeerMessenger messenger =
+                PeerMessenger.start(
                         loop,
                         settings.peers(),
-                        peers::nearOthers,
+                        peers::dataCentrePeers,
                         clock,
                         message -> onMessage(message, random.nextDouble()));
         if (settings.policy().uses(Mechanism.PEER_NEWS)) {
-            gateway.onUnreachable(news::tell);
+            gateway.onUnreachable(messenger::reportUnreachable);
         }
-        this.crashNews = new CrashNews(peers::allOthers, news::tell, clock);
-        gateway.onLeaving(server -> news.tell(new PeerMessage.Leaving(server), peers.allOthers()));
-        gateway.crashes().onFound(crashNews::onReport, crashNews::onAcquittal);
-        this.rolloutAges = new RolloutAges(beliefs, peers::sharers, news::tell, random);
+        this.crashBroadcast = new CrashBroadcast(peers::allPeers, messenger::send, clock);
+        gateway.onLeaving(
+                server -> messenger.send(new PeerMessage.Draining(server), peers.allPeers()));
+        gateway.crashes().onFound(crashBroadcast::onReport, crashBroadcast::onAcquittal);
+        this.rolloutAges = new RolloutAges(beliefs, peers::loadPeers, messenger::send, random);
         final LoadCollection collection =
-                new LoadCollection(settings.vm(), peers, loadBoard, news::tell, clock);
-        this.inbox = new PeerInbox(beliefs, gateway.crashes(), collection, rolloutAges);
+                new LoadCollection(settings.vm(), peers, loadBoard, messenger::send, clock);
+        this.dispatcher =
+                new PeerMessageDispatcher(beliefs, gateway.crashes(), collection, rolloutAges);
         this.loadReports =
                 new LoadReports(
-                        settings.vm(), beliefs.servers(), peers, collection, news::tell, clock);
-        // On the loop, like all that touches the store's client and the beliefs: started from this
-        // thread, the first answers would race with the calls that are still being made.
+                        settings.vm(),
+                        beliefs.servers(),
+                        peers,
+                        collection,
+                        messenger::send,
+                        clock);
+        // Runs on the loop, to which the store client and the state are confined: started from
+        // this thread, the first responses would race with the calls that are still being made.
         loop.execute(
                 () -> {
                     final boolean shared = settings.policy().uses(Mechanism.SHARED_CALLS);
                     follow(new StoreWatches(loop, shared ? coalesced : store, random, eras), peers);
                     loop.scheduleWithFixedDelay(
-                            this::performDuties, DUTY_MILLIS, DUTY_MILLIS, TimeUnit.MILLISECONDS);
+                            this::runPeriodicTasks,
+                            PERIODIC_TASK_MILLIS,
+                            PERIODIC_TASK_MILLIS,
+                            TimeUnit.MILLISECONDS);
                     peers.start(loop, store);
-                    eras.onRise(() -> peers.onStoreReplaced(loop, store, random));
+                    eras.onRise(() -> peers.onStoreRestored(loop, store, random));
                 });
     }
 
     private void onMessage(final PeerMessage message, final double draw) {
-        inbox.take(message, draw);
+        dispatcher.onMessage(message, draw);
     }
 
-    private void startSideServers(
-            final HttpClient storeClient, final FallbackStore store, final HttpClient workers)
+    private void startInternalListeners(
+            final HttpClient storeClient, final FallbackStore store, final HttpClient serverClient)
             throws IOException {
         HttpServer.start(group, settings.readiness(), ServerLimits.DEFAULT, readiness);
         HttpServer.start(
@@ -176,8 +189,9 @@
                         settings.linkMegabits(),
                         beliefs.clock()));
         if (settings.metrics().isPresent()) {
-            final VmMetrics served = new VmMetrics(metrics, beliefs, gateway, eras, workers);
-            HttpServer.start(group, settings.metrics().get(), ServerLimits.DEFAULT, served);
+            final VmMetrics vmMetrics =
+                    new VmMetrics(metrics, beliefs, gateway, eras, serverClient);
+            HttpServer.start(group, settings.metrics().get(), ServerLimits.DEFAULT, vmMetrics);
         }
     }
 
@@ -185,13 +199,13 @@
         final Follower<RolloutOrder> rollouts =
                 watches.of(
                         StoreKind.ROLLOUTS,
-                        () -> rarePace(StoreWatches.ROLLOUT_PACE, peers),
+                        () -> paceForRareChanges(StoreWatches.ROLLOUT_PACE, peers),
                         rolloutFeed);
         beliefs.onOrdersWanted(rollouts::refresh);
         if (settings.evacuations()) {
             watches.of(
                             StoreKind.EVACUATIONS,
-                            () -> rarePace(StoreWatches.EVACUATION_PACE, peers),
+                            () -> paceForRareChanges(StoreWatches.EVACUATION_PACE, peers),
                             evacuationFeed)
                     .start();
         }
@@ -212,7 +226,7 @@
         watches.of(
                         StoreKind.QUARANTINE,
                         () ->
-                                rarePace(
+                                paceForRareChanges(
                                         readiness.knowsQuarantine()
                                                 ? StoreWatches.QUARANTINE_PACE
                                                 : StoreWatches.FIRST_QUARANTINE_PACE,
@@ -221,17 +235,17 @@
                 .start();
     }
 
-    private static WatchPace rarePace(final WatchPace pace, final Peers peers) {
+    private static WatchPace paceForRareChanges(final WatchPace pace, final Peers peers) {
         return peers.hasJustStarted() ? pace.withListPause(StoreWatches.STARTING_LIST_PAUSE) : pace;
     }
 
     /**
      * Starts a VM.
      *
-     * @param settings who it is
-     * @param codec translates the wire
-     * @param storeAt makes a client of the store at an address
-     * @return the running VM; it is ready once it knows a configuration and the workers
+     * @param settings the settings of the VM
+     * @param codec reads and writes the request format
+     * @param storeAt creates a client of the store at an address
+     * @return the running VM; it is ready once it knows a configuration and the backend servers
      * @throws IOException if an address cannot be bound
      */
     public static GatewayVm start(
@@ -254,7 +268,8 @@
     }
 
     /**
-     * Stops gracefully: takes itself out of the balancer, answers what it has, then runs an action.
+     * Stops gracefully: fails the health check, finishes the requests in flight, then runs an
+     * action.
      *
      * @param whenStopped runs at the end, on the event loop
      */
@@ -263,7 +278,7 @@
     }
 
     /**
-     * Puts new bounds into force for what begins from now on. Addresses need a restart.
+     * Applies new bounds to what begins from now on. Changes of addresses need a restart.
      *
      * @param newer the settings as read again
      */
@@ -281,7 +296,7 @@
                 });
     }
 
-    /** Drops all connections at once; for tests. */
+    /** Stops at once and drops all connections; for tests. */
     public void kill() {
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).awaitUninterruptibly();
     }
@@ -292,7 +307,7 @@
         }
         stopping = true;
         readiness.onStopping();
-        callers.closeAfterResponses();
+        callerListener.closeAfterResponses();
         EventLog.write(
                 Event.DRAINING,
                 "vm",
@@ -300,13 +315,13 @@
                 "in_flight",
                 gateway.inFlight(),
                 "connections",
-                callers.openConnections());
+                callerListener.openConnections());
         final Drain drain = Drain.of(beliefs.clock(), settings.bounds().grace());
         awaitDrained(drain, whenStopped);
     }
 
     private void awaitDrained(final Drain drain, final Runnable whenStopped) {
-        if (drain.mayEnd(gateway.inFlight())) {
+        if (drain.mayExit(gateway.inFlight())) {
             EventLog.write(
                     gateway.inFlight() == 0 ? Event.STOPPED : Event.DRAIN_CUT,
                     "vm",
@@ -318,13 +333,16 @@
             whenStopped.run();
             return;
         }
-        if (drain.balancerKnows()) {
-            callers.closeIdle();
+        if (drain.isBalancerInformed()) {
+            callerListener.closeIdle();
         }
-        loop.schedule(() -> awaitDrained(drain, whenStopped), DUTY_MILLIS, TimeUnit.MILLISECONDS);
+        loop.schedule(
+                () -> awaitDrained(drain, whenStopped),
+                PERIODIC_TASK_MILLIS,
+                TimeUnit.MILLISECONDS);
     }
 
-    private void performDuties() {
+    private void runPeriodicTasks() {
         try {
             gateway.checkSilence();
             if (settings.policy().uses(Mechanism.LOAD_REPORTS)) {
@@ -333,17 +351,17 @@
             if (settings.policy().uses(Mechanism.PEER_NEWS)) {
                 rolloutAges.sendDue();
             }
-            serverFeed.dropLapsed();
+            serverFeed.removeExpired();
             beliefs.settle();
-            evacuationFeed.settle();
+            evacuationFeed.endUnconfirmed();
             rolloutFeed.writeDue();
-            crashNews.sendDue();
+            crashBroadcast.sendDue();
             quarantineFeed.writeDue();
             readiness.update();
         } catch (final RuntimeException e) {
-            // Netty cancels a periodic task that throws: without this, one fault would silently
-            // end all duties of the VM while it goes on serving.
-            EventLog.write(Event.INTERNAL_ERROR, "task", "duties", "error", e);
+            // Netty cancels a periodic task that throws, which would silently end the periodic
+            // tasks of a VM that keeps serving.
+            EventLog.write(Event.INTERNAL_ERROR, "task", "periodic tasks", "error", e);
         }
     }
 
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/LoadCollection.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/LoadCollection.java
@@ -15,151 +15,151 @@
 import org.fennelstage.time.MonotonicClock;
 
 /**
- * One VM of a data centre collects what the others have at the workers, and tells them the sums.
+ * Exchanges the loads of a data centre through one VM, the collector, which sums the loads of all.
  *
- * <p>Were each VM of a large data centre to tell all others, each would hear and send as many
- * datagrams as there are VMs, several times a second, and spend more on them than on its requests.
- * This way a VM sends and hears one a time; only the collector handles one for each VM.
+ * <p>If each VM of a large data centre sent its load to all others, the datagrams would cost more
+ * than the requests. This way each VM sends and receives one message a period; only the collector
+ * handles one per VM.
  *
- * <p>The VMs agree on the collector without a word, by the order of their names. A VM that tells
- * its load and hears no sums turns to the next in the order for a while. Whoever is told a load
- * answers with sums, so VMs that disagree for a moment only know less.
+ * <p>The VMs derive the collector from the order of their names, without messages. A VM that sends
+ * its load and receives no sums uses the next VM in the order for a while. A VM that receives loads
+ * replies with sums, so VMs that temporarily disagree on the collector only have incomplete sums.
  *
- * <p>Law: a VM tells one other VM at most in each period, unless others told it their loads.
- * Confined to the event loop.
+ * <p>Invariant: a VM sends to at most one other VM in each period, unless others sent it their
+ * loads. Not thread-safe; confined to the event loop.
  */
 final class LoadCollection {
 
-    /** VMs of a data centre from which on one collects for all; fewer tell each other. */
-    private static final int LEAST_VMS = 8;
+    /** Number of VMs in a data centre from which on a collector is used. */
+    private static final int MIN_VMS = 8;
 
-    /** How long a collector may keep silent before the next is told; milliseconds. */
-    static final long SILENCE_MILLIS = 1_200;
+    /** Time without sums after which a collector is skipped; milliseconds. */
+    static final long COLLECTOR_TIMEOUT_MILLIS = 1_200;
 
-    /** How long a collector that kept silent is passed over at first; milliseconds. */
-    static final long PAUSE_MILLIS = 5_000;
+    /** Time for which an unresponsive collector is skipped at first; milliseconds. */
+    static final long FIRST_BACKOFF_MILLIS = 5_000;
 
-    /** How often in a row the pause doubles for a VM that never answers; it may be gone. */
-    private static final int MOST_DOUBLINGS = 4;
+    /** Limit of consecutive doublings of that time, for a VM that is gone. */
+    private static final int MAX_DOUBLINGS = 4;
 
-    /** Workers in one message: as many as a datagram holds. */
-    static final int MOST_SERVERS = 40;
+    /** Backend servers in one message, so that it fits into a datagram. */
+    static final int MAX_SERVERS = 40;
 
     private final VmId own;
     private final Peers peers;
     private final LoadBoard board;
-    private final BiConsumer<PeerMessage, List<InetSocketAddress>> tell;
+    private final BiConsumer<PeerMessage, List<InetSocketAddress>> send;
     private final MonotonicClock clock;
-    private final Map<VmId, Long> pausedUntilMillis = new HashMap<>();
-    private final Map<VmId, Integer> silences = new HashMap<>();
-    private final Map<VmId, Long> heardMillis = new HashMap<>();
-    private Map<BackendServerId, Load> told = Map.of();
+    private final Map<VmId, Long> skippedUntilMillis = new HashMap<>();
+    private final Map<VmId, Integer> timeouts = new HashMap<>();
+    private final Map<VmId, Long> lastReportMillis = new HashMap<>();
+    private Map<BackendServerId, Load> lastSent = Map.of();
     private Optional<VmId> collector = Optional.empty();
-    private boolean awaiting;
+    private boolean awaitingSums;
     private long awaitingSinceMillis;
 
     LoadCollection(
             final VmId own,
             final Peers peers,
             final LoadBoard board,
-            final BiConsumer<PeerMessage, List<InetSocketAddress>> tell,
+            final BiConsumer<PeerMessage, List<InetSocketAddress>> send,
             final MonotonicClock clock) {
         this.own = Objects.requireNonNull(own, "own is null");
         this.peers = Objects.requireNonNull(peers, "peers is null");
         this.board = Objects.requireNonNull(board, "board is null");
-        this.tell = Objects.requireNonNull(tell, "tell is null");
+        this.send = Objects.requireNonNull(send, "send is null");
         this.clock = Objects.requireNonNull(clock, "clock is null");
     }
 
-    /** Tells whether the data centre is large enough for a collector. */
+    /** Returns whether the data centre is large enough for a collector. */
     boolean isInUse() {
-        return !peers.tellsAll() && peers.ranked().size() >= LEAST_VMS;
+        return !peers.exchangesLoadsWithAll() && peers.dataCentreVms().size() >= MIN_VMS;
     }
 
     /**
-     * Tells the collector the own loads, and those that told this VM theirs the sums. To be called
-     * once a period.
+     * Sends this VM's loads to the collector, and the sums to those that sent this VM their loads.
+     * Called once a period.
      *
-     * @param loads what this VM has at each worker that has any
+     * @param loads this VM's load at each backend server that has any
      */
     void exchange(final Map<BackendServerId, Load> loads) {
-        report(loads);
-        tellSums(loads);
+        sendLoads(loads);
+        sendSums(loads);
     }
 
-    /** Takes the loads of a VM. */
+    /** Stores the loads of a VM. */
     void onLoads(final PeerMessage.Loads loads) {
         board.onReport(loads.vm(), loads.loads());
-        heardMillis.put(loads.vm(), clock.millis());
+        lastReportMillis.put(loads.vm(), clock.millis());
     }
 
-    /** Takes the sums of a collector; those of one that this VM has turned from count no more. */
+    /** Stores the sums of the current collector; those of other VMs are ignored. */
     void onSums(final PeerMessage.LoadSums sums) {
         if (!collector.equals(Optional.of(sums.collector()))) {
             return;
         }
-        awaiting = false;
-        silences.remove(sums.collector());
+        awaitingSums = false;
+        timeouts.remove(sums.collector());
         final Map<BackendServerId, Load> others = new HashMap<>();
         sums.loads().forEach((server, load) -> others.put(server, withoutOwn(server, load)));
         board.onReport(sums.collector(), sums.part(), others);
     }
 
     private Load withoutOwn(final BackendServerId server, final Load sum) {
-        final Load others = sum.minus(told.getOrDefault(server, Load.NONE));
+        final Load others = sum.minus(lastSent.getOrDefault(server, Load.NONE));
         return new Load(Math.max(0, others.running()), Math.max(0, others.unreadMillis()));
     }
 
-    private void report(final Map<BackendServerId, Load> loads) {
-        passOverSilentCollector();
-        collector = chosen();
-        if (collector.isEmpty() || (loads.isEmpty() && told.isEmpty())) {
+    private void sendLoads(final Map<BackendServerId, Load> loads) {
+        skipUnresponsiveCollector();
+        collector = selectCollector();
+        if (collector.isEmpty() || (loads.isEmpty() && lastSent.isEmpty())) {
             return;
         }
         final Optional<InetSocketAddress> to = peers.address(collector.get());
         if (to.isEmpty()) {
             return;
         }
-        if (!awaiting) {
-            awaiting = true;
+        if (!awaitingSums) {
+            awaitingSums = true;
             awaitingSinceMillis = clock.millis();
         }
-        told = loads;
-        tell.accept(new PeerMessage.Loads(own, loads), List.of(to.get()));
+        lastSent = loads;
+        send.accept(new PeerMessage.Loads(own, loads), List.of(to.get()));
     }
 
-    private void passOverSilentCollector() {
+    private void skipUnresponsiveCollector() {
         final long now = clock.millis();
-        if (awaiting && now - awaitingSinceMillis >= SILENCE_MILLIS) {
-            collector.ifPresent(this::passOver);
-            awaiting = false;
+        if (awaitingSums && now - awaitingSinceMillis >= COLLECTOR_TIMEOUT_MILLIS) {
+            collector.ifPresent(this::skip);
+            awaitingSums = false;
         }
     }
 
-    private void passOver(final VmId vm) {
-        final int before = silences.merge(vm, 1, Integer::sum) - 1;
-        final long pause = PAUSE_MILLIS << Math.min(before, MOST_DOUBLINGS);
-        pausedUntilMillis.put(vm, clock.millis() + pause);
+    private void skip(final VmId vm) {
+        final int earlier = timeouts.merge(vm, 1, Integer::sum) - 1;
+        final long backoff = FIRST_BACKOFF_MILLIS << Math.min(earlier, MAX_DOUBLINGS);
+        skippedUntilMillis.put(vm, clock.millis() + backoff);
     }
 
-    /** Returns the first VM in the order that is not passed over, empty if that is this one. */
-    private Optional<VmId> chosen() {
+    /** Returns the first VM in the order that is not skipped, empty if that is this VM. */
+    private Optional<VmId> selectCollector() {
         final long now = clock.millis();
-        pausedUntilMillis.values().removeIf(until -> until <= now);
-        return peers.ranked().stream()
-                .filter(vm -> !pausedUntilMillis.containsKey(vm))
+        skippedUntilMillis.values().removeIf(until -> until <= now);
+        return peers.dataCentreVms().stream()
+                .filter(vm -> !skippedUntilMillis.containsKey(vm))
                 .findFirst()
                 .filter(vm -> !vm.equals(own));
     }
 
-    private void tellSums(final Map<BackendServerId, Load> loads) {
+    private void sendSums(final Map<BackendServerId, Load> loads) {
         final long now = clock.millis();
-        heardMillis.values().removeIf(heard -> now - heard > SILENCE_MILLIS);
-        if (heardMillis.isEmpty()) {
+        lastReportMillis.values().removeIf(last -> now - last > COLLECTOR_TIMEOUT_MILLIS);
+        if (lastReportMillis.isEmpty()) {
             return;
         }
         final List<InetSocketAddress> to =
-                heardMillis.keySet().stream()
+                lastReportMillis.keySet().stream()
                         .map(peers::address)
                         .flatMap(Optional::stream)
                         .toList();
@@ -167,11 +167,11 @@
         loads.forEach((server, load) -> sums.merge(server, load, Load::plus));
         final List<BackendServerId> servers = new ArrayList<>(sums.keySet());
         servers.sort(null);
-        for (int first = 0; first == 0 || first < servers.size(); first += MOST_SERVERS) {
+        for (int first = 0; first == 0 || first < servers.size(); first += MAX_SERVERS) {
             final Map<BackendServerId, Load> part = new HashMap<>();
-            servers.subList(first, Math.min(first + MOST_SERVERS, servers.size()))
+            servers.subList(first, Math.min(first + MAX_SERVERS, servers.size()))
                     .forEach(server -> part.put(server, sums.get(server)));
-            tell.accept(new PeerMessage.LoadSums(own, first / MOST_SERVERS, part), to);
+            send.accept(new PeerMessage.LoadSums(own, first / MAX_SERVERS, part), to);
         }
     }
 }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/LoadReports.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/LoadReports.java
@@ -16,74 +16,77 @@
 import org.fennelstage.time.MonotonicClock;
 
 /**
- * Tells other VMs several times a second what this one has at the workers.
+ * Sends this VM's load at the backend servers to other VMs several times a second.
  *
- * <p>A few VMs tell each other; in a large fleet one VM of each data centre collects what the
- * others have there ({@link LoadCollection}). How often follows from how many VMs tell each other,
- * so that what a VM hears does not grow with the fleet. A VM that has nothing says so once.
- * Confined to the event loop.
+ * <p>In a small fleet all VMs send to each other; in a large one a collector per data centre sums
+ * the loads ({@link LoadCollection}). The period grows with the number of receivers, so that the
+ * messages a VM receives do not grow with the fleet. A VM whose load has ended reports that once.
+ * Not thread-safe; confined to the event loop.
  */
 final class LoadReports {
 
-    /**
-     * Reports that a VM hears in a second: they take it a part or two in a thousand of its
-     * processor.
-     */
-    private static final int HEARD_PER_SECOND = 40;
+    /** Reports that a VM receives in a second at most, up to the longest period. */
+    private static final int MAX_RECEIVED_PER_SECOND = 40;
 
-    /** The shortest time between two reports; milliseconds. A prompt takes longer to be read. */
-    private static final long SHORTEST_MILLIS = 100;
+    /** Shortest time between two reports; milliseconds. */
+    private static final long MIN_PERIOD_MILLIS = 100;
 
-    /** The longest, so that a report is not forgotten before the next comes; milliseconds. */
-    private static final long LONGEST_MILLIS = 500;
+    /**
+     * Longest time between two reports, so that a report does not expire before the next one;
+     * milliseconds.
+     */
+    private static final long MAX_PERIOD_MILLIS = 500;
 
-    /** Workers told of, those with most to read first: 40 fit into one datagram. */
-    private static final int MOST_SERVERS = 40;
+    /**
+     * Backend servers in a report, those with the most unread prompts first; they fit into one
+     * datagram.
+     */
+    private static final int MAX_SERVERS = 40;
 
     private final VmId own;
     private final ServerTable servers;
     private final Peers peers;
     private final LoadCollection collection;
-    private final BiConsumer<PeerMessage, List<InetSocketAddress>> tell;
+    private final BiConsumer<PeerMessage, List<InetSocketAddress>> send;
     private final MonotonicClock clock;
-    private boolean toldAny;
-    private long lastMillis;
+    private boolean reportedAny;
+    private long lastSentMillis;
 
     LoadReports(
             final VmId own,
             final ServerTable servers,
             final Peers peers,
             final LoadCollection collection,
-            final BiConsumer<PeerMessage, List<InetSocketAddress>> tell,
+            final BiConsumer<PeerMessage, List<InetSocketAddress>> send,
             final MonotonicClock clock) {
         this.own = Objects.requireNonNull(own, "own is null");
         this.servers = Objects.requireNonNull(servers, "servers is null");
         this.peers = Objects.requireNonNull(peers, "peers is null");
         this.collection = Objects.requireNonNull(collection, "collection is null");
-        this.tell = Objects.requireNonNull(tell, "tell is null");
+        this.send = Objects.requireNonNull(send, "send is null");
         this.clock = Objects.requireNonNull(clock, "clock is null");
-        this.lastMillis = clock.millis();
+        this.lastSentMillis = clock.millis();
     }
 
-    /** Sends a report if one is due. To be called several times a second. */
+    /** Sends a report if one is due. Called several times a second. */
     void sendDue() {
-        final List<InetSocketAddress> to = peers.sharers();
-        if (to.isEmpty() || clock.millis() - lastMillis < periodMillis(to.size())) {
+        final List<InetSocketAddress> to = peers.loadPeers();
+        if (to.isEmpty() || clock.millis() - lastSentMillis < periodMillis(to.size())) {
             return;
         }
-        lastMillis = clock.millis();
+        lastSentMillis = clock.millis();
         final Map<BackendServerId, Load> loads = loads();
         if (collection.isInUse()) {
             collection.exchange(loads);
-        } else if (toldAny || !loads.isEmpty()) {
-            toldAny = !loads.isEmpty();
-            tell.accept(new PeerMessage.Loads(own, loads), to);
+        } else if (reportedAny || !loads.isEmpty()) {
+            reportedAny = !loads.isEmpty();
+            send.accept(new PeerMessage.Loads(own, loads), to);
         }
     }
 
     static long periodMillis(final int others) {
-        final long period = 1_000L * others / HEARD_PER_SECOND;
-        return Math.max(SHORTEST_MILLIS, Math.min(LONGEST_MILLIS, period));
+        final long period = 1_000L * others / MAX_RECEIVED_PER_SECOND;
+        return Math.max(MIN_PERIOD_MILLIS, Math.min(MAX_PERIOD_MILLIS, period));
     }
 
     private Map<BackendServerId, Load> loads() {
@@ -96,7 +99,7 @@
         busy.sort(
                 Comparator.comparingLong((TrackedServer s) -> s.load().unreadMillis()).reversed());
         final Map<BackendServerId, Load> loads = new HashMap<>();
-        for (final TrackedServer server : busy.subList(0, Math.min(MOST_SERVERS, busy.size()))) {
+        for (final TrackedServer server : busy.subList(0, Math.min(MAX_SERVERS, busy.size()))) {
             loads.put(server.entry().id(), server.load());
         }
         return loads;
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/PeerMessage.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/PeerMessage.java
@@ -20,29 +20,28 @@
 import org.fennelstage.id.VmId;
 
 /**
- * What VMs tell each other in one datagram, a line of text: a message with a few fields does not
- * pay for loading another library at every start.
+ * A message between VMs, sent as one line of text in a datagram.
  *
- * <p>Law: {@code parse(m.text())} is {@code m}, and anything that no message looks like is empty.
- * Implementations are immutable and thread-safe.
+ * <p>Invariant: {@code parse(m.text())} equals {@code m}, and text that is no message parses to
+ * empty. Implementations are immutable and thread-safe.
  */
 sealed interface PeerMessage {
 
-    /** Id and birth of a worker; a name has no blank or comma. */
+    /** Id and start time of a backend server. Ids contain no space or comma. */
     Pattern UNREACHABLE =
             Pattern.compile("unreachable ([A-Za-z0-9][A-Za-z0-9._-]{0,95}) ([0-9]{1,18})");
 
-    /** Id and birth of a worker. */
-    Pattern LEAVING = Pattern.compile("leaving ([A-Za-z0-9][A-Za-z0-9._-]{0,95}) ([0-9]{1,18})");
+    /** Id and start time of a backend server. */
+    Pattern DRAINING = Pattern.compile("leaving ([A-Za-z0-9][A-Za-z0-9._-]{0,95}) ([0-9]{1,18})");
 
-    /** The VM that tells, and any number of loads. */
+    /** Sending VM and any number of loads. */
     Pattern LOADS = Pattern.compile("loads ([A-Za-z0-9][A-Za-z0-9._-]{0,95})((?: [^ ]+)*)");
 
-    /** The VM that tells, the number of the part, and any number of loads. */
+    /** Sending VM, number of the part, and any number of loads. */
     Pattern LOAD_SUMS =
             Pattern.compile("sums ([A-Za-z0-9][A-Za-z0-9._-]{0,95}) ([0-9]{1,4})((?: [^ ]+)*)");
 
-    /** Id, requests, and milliseconds of prompts not yet read. */
+    /** Id of a backend server, its requests, and milliseconds of unread prompts. */
     Pattern LOAD = Pattern.compile("([A-Za-z0-9][A-Za-z0-9._-]{0,95}),([0-9]{1,6}),([0-9]{1,9})");
 
     /** Service, version, era and revision, and milliseconds since the order. */
@@ -51,21 +50,21 @@
                     "rollout ([A-Za-z0-9][A-Za-z0-9._-]{0,95}) ([^ ]{1,95}) ([0-9]{1,18})"
                             + " ([0-9]{1,18}) ([0-9]{1,9})");
 
-    /** Id and birth of a worker, and 16 digits of each request. */
+    /** Id and start time of a backend server, and fingerprints of 16 hexadecimal digits. */
     Pattern CRASH =
             Pattern.compile(
                     "crash ([A-Za-z0-9][A-Za-z0-9._-]{0,95}) ([0-9]{1,18})((?: [0-9a-f]{16})+)");
 
-    /** 16 digits of the request, and ids and births of workers. */
-    Pattern ANSWERED =
+    /** Fingerprint of 16 hexadecimal digits, and ids and start times of backend servers. */
+    Pattern CRASHES_CLEARED =
             Pattern.compile(
                     "answered ([0-9a-f]{16})"
                             + "((?: [A-Za-z0-9][A-Za-z0-9._-]{0,95},[0-9]{1,18})+)");
 
     /**
-     * A worker could not be reached.
+     * A backend server could not be reached.
      *
-     * @param server the worker and which of its lives
+     * @param server the incarnation of the backend server
      */
     record Unreachable(Incarnation server) implements PeerMessage {
 
@@ -80,13 +79,13 @@
     }
 
     /**
-     * A worker said in an answer that it leaves.
+     * A backend server reported in a response that it is draining.
      *
-     * @param server the worker and which of its lives
+     * @param server the incarnation of the backend server
      */
-    record Leaving(Incarnation server) implements PeerMessage {
+    record Draining(Incarnation server) implements PeerMessage {
 
-        public Leaving {
+        public Draining {
             Objects.requireNonNull(server, "server is null");
         }
 
@@ -97,10 +96,10 @@
     }
 
     /**
-     * What a VM has at the workers.
+     * A VM's load at the backend servers.
      *
      * @param vm the VM
-     * @param loads its requests at each worker that has any
+     * @param loads its load at each backend server that has any
      */
     record Loads(VmId vm, Map<BackendServerId, Load> loads) implements PeerMessage {
 
@@ -116,11 +115,11 @@
     }
 
     /**
-     * What the VMs have at the workers that tell their loads to one VM, that VM's own included.
+     * Sums of the loads of the VMs that report to one collector, the collector's own included.
      *
-     * @param collector the VM that tells
-     * @param part the number of this part of what it tells
-     * @param loads the sums for the workers in this part that have any
+     * @param collector the VM that sends the sums
+     * @param part the number of this part of the sums
+     * @param loads the sums for the backend servers in this part
      */
     record LoadSums(VmId collector, int part, Map<BackendServerId, Load> loads)
             implements PeerMessage {
@@ -137,9 +136,9 @@
     }
 
     /**
-     * A roll-out runs.
+     * A rollout is running.
      *
-     * @param age how long ago it was ordered
+     * @param age the time since its order
      */
     record Rollout(RolloutAge age) implements PeerMessage {
 
@@ -160,9 +159,9 @@
     }
 
     /**
-     * A worker ended.
+     * A backend server crashed.
      *
-     * @param report which, and which requests it had
+     * @param report its incarnation and the requests it was running
      */
     record Crash(CrashReport report) implements PeerMessage {
 
@@ -181,13 +180,13 @@
     }
 
     /**
-     * A request was answered under which workers had ended.
+     * A request got a response, so earlier crashes during it no longer count.
      *
-     * @param acquittal the request and the workers
+     * @param acquittal the fingerprint of the request and the crashed backend servers
      */
-    record Answered(Acquittal acquittal) implements PeerMessage {
+    record CrashesCleared(Acquittal acquittal) implements PeerMessage {
 
-        public Answered {
+        public CrashesCleared {
             Objects.requireNonNull(acquittal, "acquittal is null");
         }
 
@@ -207,14 +206,14 @@
         }
     }
 
-    /** Returns the message as it travels. */
+    /** Returns the text that is sent. */
     String text();
 
     /**
-     * Reads a message.
+     * Parses a message.
      *
-     * @param text what arrived
-     * @return the message, empty for anything else
+     * @param text the received text
+     * @return the message, empty if the text is not one
      */
     static Optional<PeerMessage> parse(final String text) {
         final Matcher unreachable = UNREACHABLE.matcher(text);
@@ -234,20 +233,20 @@
                                             Long.parseLong(rollout.group(4))),
                                     Long.parseLong(rollout.group(5)))));
         }
-        final Matcher leaving = LEAVING.matcher(text);
-        if (leaving.matches()) {
-            return Optional.of(new Leaving(incarnation(leaving.group(1), leaving.group(2))));
+        final Matcher draining = DRAINING.matcher(text);
+        if (draining.matches()) {
+            return Optional.of(new Draining(incarnation(draining.group(1), draining.group(2))));
         }
         final Matcher crash = CRASH.matcher(text);
         if (crash.matches()) {
             final Incarnation server = incarnation(crash.group(1), crash.group(2));
             return Optional.of(new Crash(new CrashReport(server, contents(crash.group(3)))));
         }
-        final Matcher answered = ANSWERED.matcher(text);
-        if (answered.matches()) {
-            final Fingerprint content = Fingerprint.parse(answered.group(1));
+        final Matcher cleared = CRASHES_CLEARED.matcher(text);
+        if (cleared.matches()) {
+            final Fingerprint content = Fingerprint.parse(cleared.group(1));
             return Optional.of(
-                    new Answered(new Acquittal(content, incarnations(answered.group(2)))));
+                    new CrashesCleared(new Acquittal(content, incarnations(cleared.group(2)))));
         }
         final Matcher sums = LOAD_SUMS.matcher(text);
         if (sums.matches()) {
@@ -276,23 +275,23 @@
         return text.toString();
     }
 
-    private static Incarnation incarnation(final String id, final String bornMillis) {
-        return new Incarnation(BackendServerId.of(id), Long.parseLong(bornMillis));
+    private static Incarnation incarnation(final String id, final String startMillis) {
+        return new Incarnation(BackendServerId.of(id), Long.parseLong(startMillis));
     }
 
-    private static Set<Fingerprint> contents(final String words) {
+    private static Set<Fingerprint> contents(final String list) {
         final Set<Fingerprint> contents = new HashSet<>();
-        for (final String word : words.strip().split(" ")) {
-            contents.add(Fingerprint.parse(word));
+        for (final String item : list.strip().split(" ")) {
+            contents.add(Fingerprint.parse(item));
         }
         return contents;
     }
 
-    private static Set<Incarnation> incarnations(final String words) {
+    private static Set<Incarnation> incarnations(final String list) {
         final Set<Incarnation> incarnations = new HashSet<>();
-        for (final String word : words.strip().split(" ")) {
-            final int comma = word.indexOf(',');
-            incarnations.add(incarnation(word.substring(0, comma), word.substring(comma + 1)));
+        for (final String item : list.strip().split(" ")) {
+            final int comma = item.indexOf(',');
+            incarnations.add(incarnation(item.substring(0, comma), item.substring(comma + 1)));
         }
         return incarnations;
     }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/PeerInbox.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/PeerMessageDispatcher.java
@@ -9,15 +9,15 @@
 import org.fennelstage.log.Event;
 import org.fennelstage.log.EventLog;
 
-/** Hands what other VMs tell to whom it concerns. Confined to the event loop. */
-final class PeerInbox {
+/** Dispatches the messages of other VMs. Not thread-safe; confined to the event loop. */
+final class PeerMessageDispatcher {
 
     private final Beliefs beliefs;
     private final CrashWatch crashes;
     private final LoadCollection loads;
     private final RolloutAges rolloutAges;
 
-    PeerInbox(
+    PeerMessageDispatcher(
             final Beliefs beliefs,
             final CrashWatch crashes,
             final LoadCollection loads,
@@ -29,44 +29,44 @@
     }
 
     /**
-     * Takes a message.
+     * Handles a message.
      *
-     * @param message what another VM tells
-     * @param draw spreads what VMs do about it, in [0, 1)
+     * @param message the message of another VM
+     * @param draw a random number in [0, 1) that varies the reaction between VMs
      */
-    void take(final PeerMessage message, final double draw) {
+    void onMessage(final PeerMessage message, final double draw) {
         if (message instanceof PeerMessage.Unreachable unreachable) {
-            onReported(unreachable.server(), draw);
-        } else if (message instanceof PeerMessage.Loads told) {
-            loads.onLoads(told);
+            onUnreachable(unreachable.server(), draw);
+        } else if (message instanceof PeerMessage.Loads reported) {
+            loads.onLoads(reported);
         } else if (message instanceof PeerMessage.LoadSums sums) {
             loads.onSums(sums);
         } else if (message instanceof PeerMessage.Rollout rollout) {
             rolloutAges.onAge(rollout.age());
-        } else if (message instanceof PeerMessage.Leaving leaving) {
-            onSaidToLeave(leaving.server());
+        } else if (message instanceof PeerMessage.Draining draining) {
+            onDraining(draining.server());
         } else if (message instanceof PeerMessage.Crash crash) {
             crashes.onReport(crash.report());
-        } else if (message instanceof PeerMessage.Answered answered) {
-            crashes.onAcquittal(answered.acquittal());
+        } else if (message instanceof PeerMessage.CrashesCleared cleared) {
+            crashes.onAcquittal(cleared.acquittal());
         }
     }
 
-    private void onSaidToLeave(final Incarnation server) {
+    private void onDraining(final Incarnation server) {
         if (beliefs.servers().onLeaving(server)) {
             EventLog.write(Event.SERVER_LEAVES, "server", server, "source", "another VM");
         }
     }
 
-    private void onReported(final Incarnation about, final double draw) {
-        // What was said of a former life says nothing of the worker that started again.
+    private void onUnreachable(final Incarnation incarnation, final double draw) {
+        // Ignores a report about an earlier incarnation of a backend server that has restarted.
         final Optional<TrackedServer> server =
                 beliefs.servers()
-                        .find(about.server())
-                        .filter(s -> s.entry().incarnation().equals(about));
+                        .find(incarnation.server())
+                        .filter(s -> s.entry().incarnation().equals(incarnation));
         if (server.isPresent()) {
-            final boolean believed = server.get().health().onHearsay(draw);
-            EventLog.write(Event.SERVER_REPORTED, "server", about, "believed", believed);
+            final boolean applied = server.get().health().onHearsay(draw);
+            EventLog.write(Event.SERVER_REPORTED, "server", incarnation, "believed", applied);
         }
     }
 }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/PeerNews.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/PeerMessenger.java
@@ -25,33 +25,34 @@
 import org.fennelstage.time.MonotonicClock;
 
 /**
- * Tells the other VMs of the data centre which workers this VM could not reach, and hears it from
- * them.
+ * Sends and receives peer messages, one datagram each.
  *
- * <p>One datagram a VM with the worker's id and birth, text of one line: news that is lost costs a
- * VM one request that finds out by itself, so nothing is acknowledged or sent again. Text, since a
- * message of one field does not pay for loading another library at every start. Confined to the
- * event loop.
+ * <p>Messages are neither acknowledged nor sent again: a VM that misses one finds out by an attempt
+ * of its own. They are lines of text, which need no serialization library. Not thread-safe;
+ * confined to the event loop.
  */
-final class PeerNews {
+final class PeerMessenger {
 
-    /** The longest message taken: a datagram that no link divides. */
+    /** Longest message sent or accepted, below the usual MTU; bytes. */
     private static final int MAX_BYTES = 1_400;
 
-    /** How often the same worker is told of at most; milliseconds. The word counts for longer. */
-    private static final long REPEAT_MILLIS = 1_000;
+    /**
+     * Shortest time between two reports of the same backend server; milliseconds. Receivers act on
+     * a report for longer.
+     */
+    private static final long MIN_REPORT_INTERVAL_MILLIS = 1_000;
 
     private final Channel channel;
-    private final Supplier<List<InetSocketAddress>> near;
+    private final Supplier<List<InetSocketAddress>> dataCentrePeers;
     private final MonotonicClock clock;
-    private final Map<Incarnation, Long> toldMillis = new HashMap<>();
+    private final Map<Incarnation, Long> reportedMillis = new HashMap<>();
 
-    private PeerNews(
+    private PeerMessenger(
             final Channel channel,
-            final Supplier<List<InetSocketAddress>> near,
+            final Supplier<List<InetSocketAddress>> dataCentrePeers,
             final MonotonicClock clock) {
         this.channel = channel;
-        this.near = near;
+        this.dataCentrePeers = dataCentrePeers;
         this.clock = clock;
     }
 
@@ -59,21 +60,21 @@
      * Binds and listens.
      *
      * @param loop runs it
-     * @param own where this VM listens for datagrams
-     * @param near where the others of the data centre do
+     * @param own address of this VM for datagrams
+     * @param dataCentrePeers addresses of the other VMs of the data centre
      * @param clock the clock
-     * @param listener takes what others tell, on the loop
-     * @return the running exchange
+     * @param listener receives the messages of other VMs, on the loop
+     * @return the running messenger
      * @throws IOException if the address cannot be bound
      */
-    static PeerNews start(
+    static PeerMessenger start(
             final EventLoop loop,
             final InetSocketAddress own,
-            final Supplier<List<InetSocketAddress>> near,
+            final Supplier<List<InetSocketAddress>> dataCentrePeers,
             final MonotonicClock clock,
             final Consumer<PeerMessage> listener)
             throws IOException {
-        Objects.requireNonNull(near, "near is null");
+        Objects.requireNonNull(dataCentrePeers, "dataCentrePeers is null");
         Objects.requireNonNull(listener, "listener is null");
         final ChannelFuture bound =
                 new Bootstrap()
@@ -85,20 +86,22 @@
         if (!bound.isSuccess()) {
             throw new IOException("cannot listen for datagrams on " + own, bound.cause());
         }
-        return new PeerNews(bound.channel(), near, clock);
+        return new PeerMessenger(bound.channel(), dataCentrePeers, clock);
     }
 
-    /** Tells the others of the data centre that this VM could not reach a worker. */
-    void tell(final Incarnation server) {
+    /**
+     * Reports to the other VMs of the data centre that this VM could not reach a backend server.
+     */
+    void reportUnreachable(final Incarnation server) {
         final long now = clock.millis();
-        toldMillis.values().removeIf(told -> now - told >= REPEAT_MILLIS);
-        if (toldMillis.putIfAbsent(server, now) == null) {
-            tell(new PeerMessage.Unreachable(server), near.get());
+        reportedMillis.values().removeIf(reported -> now - reported >= MIN_REPORT_INTERVAL_MILLIS);
+        if (reportedMillis.putIfAbsent(server, now) == null) {
+            send(new PeerMessage.Unreachable(server), dataCentrePeers.get());
         }
     }
 
-    /** Tells some VMs something. */
-    void tell(final PeerMessage message, final List<InetSocketAddress> to) {
+    /** Sends a message; one that is too long is dropped. */
+    void send(final PeerMessage message, final List<InetSocketAddress> to) {
         final byte[] text = message.text().getBytes(StandardCharsets.UTF_8);
         if (text.length > MAX_BYTES) {
             return;
@@ -109,7 +112,7 @@
         channel.flush();
     }
 
-    /** Takes what others tell. */
+    /** Parses received datagrams. */
     private static final class Reader extends SimpleChannelInboundHandler<DatagramPacket> {
 
         private final Consumer<PeerMessage> listener;
@@ -131,9 +134,9 @@
 
         @Override
         public void exceptionCaught(final ChannelHandlerContext context, final Throwable cause) {
-            // A VM that is gone answers datagrams with "port unreachable"; the next message may
-            // arrive, so the channel stays open.
-            EventLog.write(Event.INTERNAL_ERROR, "task", "news of other VMs", "error", cause);
+            // A VM that is gone causes ICMP "port unreachable". The channel stays open for the
+            // next message.
+            EventLog.write(Event.INTERNAL_ERROR, "task", "peer messages", "error", cause);
         }
     }
 }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/Peers.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/Peers.java
@@ -31,249 +31,251 @@
 import org.fennelstage.store.VmEntry;
 
 /**
- * The VMs, as they entered themselves into the store, and the store as they reach it.
+ * The VMs, as listed in the store, and relays to the store through them.
  *
- * <p>Entries of VMs that are gone stay; a relay that does not answer is passed over. Invariant: a
- * VM that was heard of is not forgotten. A store that comes back from an older copy has lost the
- * entries made since; taken at its word, it would leave VMs without a way around it, and each VM
- * would take a larger part of what they share. Confined to the event loop.
+ * <p>Entries of VMs that are gone remain; a relay that does not respond is skipped. Invariant: a VM
+ * that was listed once is never removed. A store that was restored from an older copy lacks later
+ * entries; without them VMs would lose their relays and take too large a part of what the fleet
+ * shares. Not thread-safe; confined to the event loop.
  */
 final class Peers {
 
     /**
-     * How often the list is read; milliseconds. It matters only to a VM that the store turns away;
-     * a watch would wake every VM for each VM that enters, 64 times 64 calls at the start of a
-     * fleet of that size.
+     * Time between two reads of the list; milliseconds. The list is polled, since with a watch each
+     * VM that enters would cause a call by every VM.
      */
-    private static final long PERIOD_MILLIS = 15_000;
+    private static final long READ_PERIOD_MILLIS = 15_000;
 
     /**
-     * When the list is read for the second time; milliseconds. All VMs of a fleet that starts are
-     * in it then. Until then this VM asks the store by itself: when all VMs start at once, the one
-     * that is to ask for them is as busy with its own start.
+     * Time of the second read of the list, when all VMs of a starting fleet have entered;
+     * milliseconds. Until then this VM calls the store directly, since the VM that coalesces calls
+     * is starting as well.
      */
-    private static final long SECOND_MILLIS = 3_000;
+    private static final long SECOND_READ_MILLIS = 3_000;
 
     /**
-     * When the list is read after the store's return from an older copy; milliseconds. It may be
-     * answered from some seconds ago, when the copy was not in use yet; what is some seconds old
-     * after this time is of the copy.
+     * Delay of the read after the store was restored from an older copy; milliseconds. A stale list
+     * may be a few seconds old, and must not precede the restore.
      */
-    private static final long RETURN_MILLIS = 3_000;
+    private static final long RESTORED_READ_DELAY_MILLIS = 3_000;
 
-    /** Over which time the VMs' reads are spread then; milliseconds. Each may bring a write. */
-    private static final long RETURN_SPREAD_MILLIS = 3_000;
+    /** Spread of these reads over the VMs; milliseconds. Each may be followed by a write. */
+    private static final long RESTORED_READ_SPREAD_MILLIS = 3_000;
 
     /**
-     * VMs up to which all tell each other their loads; in a larger fleet those of a data centre do,
-     * whose bytes are not paid for.
+     * Number of other VMs below which all VMs of the fleet exchange loads; in a larger fleet those
+     * of a data centre do, which avoids the cost of traffic between data centres.
      */
-    private static final int MOST_TO_TELL_ALL = 16;
+    private static final int FULL_EXCHANGE_VM_LIMIT = 16;
 
     /**
-     * VMs in a data centre from which on one of them asks the store for all. The short watch by
-     * which that VM's silence is noticed costs as many calls as the watches of two or three VMs
-     * that ask by themselves.
+     * Number of VMs in a data centre from which on one of them calls the store for all. In a
+     * smaller one the short watch that detects the failure of that VM would cost more calls than it
+     * saves.
      */
-    private static final int LEAST_TO_COALESCE = 4;
+    private static final int MIN_VMS_TO_COALESCE = 4;
 
     private final VmEntry own;
-    private final Function<ServerAddress, Store> relayOf;
+    private final Function<ServerAddress, Store> relayAt;
     private final Map<VmId, VmEntry> entries = new LinkedHashMap<>();
-    private final Map<ServerAddress, Store> stores = new HashMap<>();
+    private final Map<ServerAddress, Store> relaysByAddress = new HashMap<>();
     private List<Store> relays = List.of();
-    private List<Store> coalescing = List.of();
-    private List<VmId> ranked = List.of();
-    private List<InetSocketAddress> nearOthers = List.of();
-    private List<InetSocketAddress> allOthers = List.of();
+    private List<Store> coalescingRelays = List.of();
+    private List<VmId> dataCentreVms = List.of();
+    private List<InetSocketAddress> dataCentrePeers = List.of();
+    private List<InetSocketAddress> allPeers = List.of();
     private int reads;
-    private boolean knowsFleet;
-    private final IntConsumer onCount;
+    private boolean fleetKnown;
+    private final IntConsumer countListener;
     private Consumer<Set<VmId>> fleetListener = others -> {};
 
     Peers(
             final VmEntry own,
-            final Function<ServerAddress, Store> relayOf,
-            final IntConsumer onCount) {
-        this.onCount = Objects.requireNonNull(onCount, "onCount is null");
+            final Function<ServerAddress, Store> relayAt,
+            final IntConsumer countListener) {
+        this.countListener = Objects.requireNonNull(countListener, "countListener is null");
         this.own = Objects.requireNonNull(own, "own is null");
-        this.relayOf = Objects.requireNonNull(relayOf, "relayOf is null");
+        this.relayAt = Objects.requireNonNull(relayAt, "relayAt is null");
     }
 
     /**
-     * Sets who hears which other VMs there are, once all are known.
+     * Sets the listener for the other VMs, called once the fleet is known.
      *
-     * @param listener takes the others, gone ones included
+     * @param listener receives the ids of the others, gone ones included
      */
-    void onFleet(final Consumer<Set<VmId>> listener) {
+    void onFleetKnown(final Consumer<Set<VmId>> listener) {
         fleetListener = Objects.requireNonNull(listener, "listener is null");
     }
 
-    /** Begins to read the list, and to enter this VM when the list lacks it. */
+    /** Starts reading the list; adds this VM to it if it is missing. */
     void start(final EventLoop loop, final Store store) {
-        read(loop, store, SECOND_MILLIS);
+        read(loop, store, SECOND_READ_MILLIS);
     }
 
-    private void read(final EventLoop loop, final Store store, final long againMillis) {
+    private void read(final EventLoop loop, final Store store, final long nextReadMillis) {
         store.listStale(StoreKind.VMS, answer -> onList(store, answer));
-        loop.schedule(() -> read(loop, store, PERIOD_MILLIS), againMillis, TimeUnit.MILLISECONDS);
+        loop.schedule(
+                () -> read(loop, store, READ_PERIOD_MILLIS), nextReadMillis, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Reads the list again soon, since the store has come back from an older copy that may lack
-     * this VM.
+     * Reads the list again soon, since a store restored from an older copy may lack this VM.
      *
      * @param loop runs it
      * @param store the store
-     * @param random spreads the VMs' calls
+     * @param random spreads the calls of the VMs
      */
-    void onStoreReplaced(final EventLoop loop, final Store store, final RandomGenerator random) {
+    void onStoreRestored(final EventLoop loop, final Store store, final RandomGenerator random) {
         loop.schedule(
                 () -> store.listStale(StoreKind.VMS, answer -> onList(store, answer)),
-                RETURN_MILLIS + random.nextLong(RETURN_SPREAD_MILLIS),
+                RESTORED_READ_DELAY_MILLIS + random.nextLong(RESTORED_READ_SPREAD_MILLIS),
                 TimeUnit.MILLISECONDS);
     }
 
     private void onList(final Store store, final StoreAnswer<Page<VmEntry>> answer) {
         if (answer instanceof StoreAnswer.Done<Page<VmEntry>> done) {
             final List<StoredValue<VmEntry>> values = done.value().values();
-            take(values);
-            if (!lists(values, own)) {
+            onEntries(values);
+            if (!contains(values, own)) {
                 EventLog.write(
                         Event.VM_ENTERED, "vm", own.vm(), "position", done.value().position());
-                store.writeVm(own, Peers::onEntered);
+                store.writeVm(own, Peers::onEntryWritten);
             }
         }
     }
 
-    private static boolean lists(final List<StoredValue<VmEntry>> values, final VmEntry entry) {
+    private static boolean contains(final List<StoredValue<VmEntry>> values, final VmEntry entry) {
         return values.stream().anyMatch(v -> v.value().equals(Optional.of(entry)));
     }
 
-    /** Tells whether this VM has not read the list twice yet, and asks the store by itself. */
+    /**
+     * Returns whether this VM has read the list less than twice, and so calls the store directly.
+     */
     boolean hasJustStarted() {
         return reads < 2;
     }
 
-    /** Returns the store as the others reach it: those of the own data centre first. */
+    /** Returns the relays through the other VMs, those of the own data centre first. */
     List<Store> relays() {
         return relays;
     }
 
     /**
-     * Returns the store as the VMs of the own data centre reach it, this VM included, in the order
-     * on which all of them agree.
+     * Returns the relays through the VMs of the own data centre, this one included, in an order
+     * that is the same at each of them; empty if calls are not coalesced.
      */
-    List<Store> coalescing() {
-        return coalescing;
+    List<Store> coalescingRelays() {
+        return coalescingRelays;
     }
 
     /**
-     * Returns the VMs of the own data centre, this one included, in the order on which all of them
-     * agree.
+     * Returns the VMs of the own data centre, this one included, in an order that is the same at
+     * each of them.
      */
-    List<VmId> ranked() {
-        return ranked;
+    List<VmId> dataCentreVms() {
+        return dataCentreVms;
     }
 
-    /** Returns where a VM listens to others, empty if it was never heard of. */
+    /** Returns a VM's address for peer messages, empty if it was never listed. */
     Optional<InetSocketAddress> address(final VmId vm) {
         return Optional.ofNullable(entries.get(vm)).map(e -> Sockets.address(e.address()));
     }
 
-    /** Tells whether all VMs tell each other their loads, not only those of a data centre. */
-    boolean tellsAll() {
-        return allOthers.size() < MOST_TO_TELL_ALL;
+    /** Returns whether all VMs of the fleet exchange loads, not only those of a data centre. */
+    boolean exchangesLoadsWithAll() {
+        return allPeers.size() < FULL_EXCHANGE_VM_LIMIT;
     }
 
-    /** Returns where the other VMs of the own data centre listen. */
-    List<InetSocketAddress> nearOthers() {
-        return nearOthers;
+    /** Returns the addresses of the other VMs of the own data centre. */
+    List<InetSocketAddress> dataCentrePeers() {
+        return dataCentrePeers;
     }
 
-    /** Returns where all other VMs listen. */
-    List<InetSocketAddress> allOthers() {
-        return allOthers;
+    /** Returns the addresses of all other VMs. */
+    List<InetSocketAddress> allPeers() {
+        return allPeers;
     }
 
-    /** Returns where the VMs listen that tell this one their loads, and hear its own. */
-    List<InetSocketAddress> sharers() {
-        return tellsAll() ? allOthers : nearOthers;
+    /** Returns the addresses of the VMs with which this one exchanges loads. */
+    List<InetSocketAddress> loadPeers() {
+        return exchangesLoadsWithAll() ? allPeers : dataCentrePeers;
     }
 
-    /** Returns how many other VMs there are for each that tells this one its load. */
-    double othersPerSharer() {
-        final int sharers = sharers().size();
-        return sharers == 0 ? 1 : (double) allOthers.size() / sharers;
+    /** Returns the number of other VMs per VM with which this one exchanges loads. */
+    double othersPerLoadPeer() {
+        final int loadPeers = loadPeers().size();
+        return loadPeers == 0 ? 1 : (double) allPeers.size() / loadPeers;
     }
 
-    private void take(final List<StoredValue<VmEntry>> values) {
+    private void onEntries(final List<StoredValue<VmEntry>> values) {
         reads++;
         values.forEach(v -> v.value().ifPresent(e -> entries.put(e.vm(), e)));
-        // A list with this VM is of a fleet that ran before; one without it, of a fleet that
-        // starts.
-        knowsFleet = knowsFleet || !hasJustStarted() || lists(values, own);
-        rank();
-        if (knowsFleet) {
+        // A list with this VM is of a fleet that ran before; a list without it may be of a fleet
+        // that is still starting.
+        fleetKnown = fleetKnown || !hasJustStarted() || contains(values, own);
+        updateOrders();
+        if (fleetKnown) {
             final Set<VmId> others = new HashSet<>(entries.keySet());
             others.remove(own.vm());
             fleetListener.accept(others);
         }
     }
 
-    private void rank() {
-        onCount.accept(entries.size());
-        stores.keySet().retainAll(entries.values().stream().map(VmEntry::address).toList());
-        rankOthers();
-        rankDataCentre();
+    private void updateOrders() {
+        countListener.accept(entries.size());
+        relaysByAddress
+                .keySet()
+                .retainAll(entries.values().stream().map(VmEntry::address).toList());
+        updatePeers();
+        updateDataCentre();
     }
 
-    private void rankOthers() {
+    private void updatePeers() {
         final List<VmEntry> others = new ArrayList<>(entries.values());
         others.removeIf(e -> e.vm().equals(own.vm()));
-        final Comparator<VmEntry> nearFirst =
+        final Comparator<VmEntry> dataCentreFirst =
                 Comparator.comparing(e -> !e.dataCentre().equals(own.dataCentre()));
-        // Each VM has an order of its own, so that not all turn to the same relay.
-        final Comparator<VmEntry> spread =
+        // The order differs between VMs, so that they do not all use the same relay.
+        final Comparator<VmEntry> ownOrder =
                 Comparator.comparingLong(e -> Rendezvous.weight(own.vm().value(), e.vm().value()));
-        others.sort(nearFirst.thenComparing(spread));
-        relays = others.stream().map(this::storeThrough).toList();
-        allOthers = others.stream().map(e -> Sockets.address(e.address())).toList();
+        others.sort(dataCentreFirst.thenComparing(ownOrder));
+        relays = others.stream().map(this::relayThrough).toList();
+        allPeers = others.stream().map(e -> Sockets.address(e.address())).toList();
     }
 
-    private void rankDataCentre() {
-        final List<VmId> near =
+    private void updateDataCentre() {
+        final List<VmId> ids =
                 entries.values().stream()
                         .filter(e -> e.dataCentre().equals(own.dataCentre()))
                         .map(VmEntry::vm)
                         .toList();
-        nearOthers =
-                near.stream()
+        dataCentrePeers =
+                ids.stream()
                         .filter(vm -> !vm.equals(own.vm()))
                         .map(vm -> Sockets.address(entries.get(vm).address()))
                         .toList();
-        ranked = Rendezvous.rank(own.dataCentre().value(), near);
-        coalescing =
-                hasJustStarted() || near.size() < LEAST_TO_COALESCE
+        dataCentreVms = Rendezvous.rank(own.dataCentre().value(), ids);
+        coalescingRelays =
+                hasJustStarted() || ids.size() < MIN_VMS_TO_COALESCE
                         ? List.of()
-                        : ranked.stream().map(vm -> storeThrough(entries.get(vm))).toList();
+                        : dataCentreVms.stream().map(vm -> relayThrough(entries.get(vm))).toList();
     }
 
     /**
-     * Returns this VM's turn at a task that any VM may do and one is to do.
+     * Returns this VM's rank at a task that any one VM may do.
      *
-     * @param task the task's name
+     * @param task the name of the task
      * @return the number of VMs before it
      */
-    int turn(final String task) {
+    int rankFor(final String task) {
         return Math.max(0, Rendezvous.rank(task, entries.keySet()).indexOf(own.vm()));
     }
 
-    private Store storeThrough(final VmEntry entry) {
-        return stores.computeIfAbsent(entry.address(), relayOf);
+    private Store relayThrough(final VmEntry entry) {
+        return relaysByAddress.computeIfAbsent(entry.address(), relayAt);
     }
 
-    private static void onEntered(final StoreAnswer<Void> answer) {
+    private static void onEntryWritten(final StoreAnswer<Void> answer) {
         if (answer instanceof StoreAnswer.Unavailable<Void> unavailable) {
             EventLog.write(
                     Event.WRITE_FAILED, "object", "own entry", "detail", unavailable.detail());
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/QuarantineFeed.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/QuarantineFeed.java
@@ -20,61 +20,63 @@
 import org.fennelstage.time.MonotonicClock;
 
 /**
- * Keeps the requests that end their workers in the store, and learns from it those that other VMs
- * found.
+ * Writes the quarantine of this VM to the store, and applies that of other VMs from it.
  *
- * <p>VMs have no disk: when all of them lose power, each would learn anew what a request does, at
- * the price of three workers. An operator who deletes the object of a request has it served again.
- * What the store has lost by coming back from an older copy is written again. Confined to the event
- * loop.
+ * <p>VMs have no disk: after a power failure of the fleet each quarantined request would crash
+ * further backend servers. Deleting the object of a request releases it. Entries that are missing
+ * from a store that was restored from an older copy are written again. Not thread-safe; confined to
+ * the event loop.
  */
 final class QuarantineFeed implements Follower.Listener<Fingerprint> {
 
-    /** Turns waited for at most: the VMs tell each other at once, so this write may wait. */
-    private static final int MOST_TURNS = 30;
+    /**
+     * Rank from which on the delay of a write no longer grows. VMs report crashes to each other
+     * directly, so the write may wait.
+     */
+    private static final int MAX_RANK = 30;
 
     /**
-     * How long the store's word that a request is refused is doubted after its answer;
-     * milliseconds. Another VM may have written it a moment before it heard of the answer.
+     * How long the store's entry for a released request is ignored and deleted; milliseconds.
+     * Another VM may have written it just before it learned of the release.
      */
-    private static final long LIFTED_MILLIS = 10_000;
+    private static final long RELEASED_MILLIS = 10_000;
 
-    /** The wait after a write that failed; milliseconds. */
+    /** Pause after a failed write; milliseconds. */
     private static final long RETRY_MILLIS = 1_000;
 
     private final CrashWatch crashes;
     private final Store store;
     private final MonotonicClock clock;
     private final Runnable afterList;
-    private final Turns<Fingerprint> turns;
+    private final TaskStagger<Fingerprint> stagger;
     private final Set<Fingerprint> stored = new HashSet<>();
-    private final Set<Fingerprint> over = new HashSet<>();
+    private final Set<Fingerprint> toDelete = new HashSet<>();
     private final Set<Fingerprint> writing = new HashSet<>();
-    private final Map<Fingerprint, Long> liftedMillis = new HashMap<>();
+    private final Map<Fingerprint, Long> releasedMillis = new HashMap<>();
     private long retryAtMillis = Long.MIN_VALUE;
 
     QuarantineFeed(
             final CrashWatch crashes,
             final Store store,
-            final ToIntFunction<String> turnAt,
+            final ToIntFunction<String> rankFor,
             final MonotonicClock clock,
             final Runnable afterList) {
         this.crashes = Objects.requireNonNull(crashes, "crashes is null");
         this.store = Objects.requireNonNull(store, "store is null");
         this.clock = Objects.requireNonNull(clock, "clock is null");
-        this.turns = new Turns<>(turnAt, MOST_TURNS, clock);
+        this.stagger = new TaskStagger<>(rankFor, MAX_RANK, clock);
         this.afterList = Objects.requireNonNull(afterList, "afterList is null");
-        crashes.onLifted(this::onLifted);
+        crashes.onLifted(this::onReleased);
     }
 
-    private void onLifted(final Fingerprint content) {
-        liftedMillis.put(content, clock.millis());
-        over.add(content);
+    private void onReleased(final Fingerprint content) {
+        releasedMillis.put(content, clock.millis());
+        toDelete.add(content);
     }
 
-    private boolean wasLifted(final Fingerprint content) {
-        final Long lifted = liftedMillis.get(content);
-        return lifted != null && clock.millis() - lifted < LIFTED_MILLIS;
+    private boolean wasReleased(final Fingerprint content) {
+        final Long released = releasedMillis.get(content);
+        return released != null && clock.millis() - released < RELEASED_MILLIS;
     }
 
     @Override
@@ -89,29 +91,29 @@
 
     @Override
     public void onChange(final StoredValue<Fingerprint> change) {
-        change.value().ifPresentOrElse(this::onStored, () -> onGone(change.name()));
+        change.value().ifPresentOrElse(this::onStored, () -> onDeleted(change.name()));
     }
 
     private void onStored(final Fingerprint content) {
         stored.add(content);
-        turns.forget(content);
-        if (wasLifted(content)) {
-            over.add(content);
+        stagger.clear(content);
+        if (wasReleased(content)) {
+            toDelete.add(content);
         }
-        if (!over.contains(content)) {
+        if (!toDelete.contains(content)) {
             crashes.quarantine(content, "store");
         }
     }
 
-    private void onGone(final String name) {
+    private void onDeleted(final String name) {
         try {
             final Fingerprint content = Fingerprint.parse(name);
             stored.remove(content);
-            over.remove(content);
-            turns.forget(content);
+            toDelete.remove(content);
+            stagger.clear(content);
             crashes.release(content);
         } catch (final IllegalArgumentException e) {
-            // Another writer may use names that are no request's; those release none.
+            // The name is no fingerprint.
             EventLog.write(
                     Event.OBJECT_MALFORMED,
                     "kind",
@@ -121,19 +123,19 @@
         }
     }
 
-    /** Writes and deletes what is due. To be called a few times a second. */
+    /** Performs the writes and deletions that are due. Called a few times a second. */
     void writeDue() {
         for (final Fingerprint content : crashes.quarantine().takeExpired()) {
             EventLog.write(Event.QUARANTINE_OVER, "content", content, "source", "time");
-            over.add(content);
+            toDelete.add(content);
         }
-        liftedMillis.keySet().removeIf(content -> !wasLifted(content));
-        over.retainAll(stored);
+        releasedMillis.keySet().removeIf(content -> !wasReleased(content));
+        toDelete.retainAll(stored);
         if (clock.millis() < retryAtMillis) {
             return;
         }
         crashes.quarantine().contents().forEach(this::write);
-        Set.copyOf(over).forEach(this::delete);
+        Set.copyOf(toDelete).forEach(this::delete);
     }
 
     private void write(final Fingerprint content) {
@@ -151,14 +153,14 @@
     }
 
     private boolean mayWrite(final Fingerprint content) {
-        return turns.isOwn(content, content.toString()) && writing.add(content);
+        return stagger.mayAct(content, content.toString()) && writing.add(content);
     }
 
-    /** A conflict says that another VM wrote it before. */
+    /** Handles the result; a conflict means that another VM wrote first. */
     private void onWritten(
             final Fingerprint content, final StoreAnswer<Void> answer, final Runnable done) {
         writing.remove(content);
-        turns.forget(content);
+        stagger.clear(content);
         if (answer instanceof StoreAnswer.Unavailable<Void> unavailable) {
             retryAtMillis = clock.millis() + RETRY_MILLIS;
             EventLog.write(
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/Readiness.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/Readiness.java
@@ -8,11 +8,11 @@
 import org.fennelstage.log.EventLog;
 
 /**
- * Whether the balancer may send callers to this VM, and the answer to its question.
+ * Responds to the balancer's health checks.
  *
- * <p>Laws: a VM is ready once it knows a configuration, the workers, the roll-outs, the data
- * centres that are being emptied and the requests that are refused for ending workers, stays so
- * while the store is away, and is never ready again once it stops. Confined to the event loop.
+ * <p>Invariants: a VM becomes ready once it knows a configuration, the backend servers, the
+ * rollouts, the evacuations and the quarantine; it stays ready while the store is unavailable, and
+ * is never ready again once it stops. Not thread-safe; confined to the event loop.
  */
 final class Readiness implements RequestHandler {
 
@@ -64,7 +64,7 @@
         ready = false;
     }
 
-    /** Becomes ready if nothing is missing any more. */
+    /** Becomes ready if all lists have been read. */
     void update() {
         final boolean knowsAll =
                 serversListed
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/RelayedCall.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/RelayedCall.java
@@ -14,76 +14,75 @@
 import org.fennelstage.time.MonotonicClock;
 
 /**
- * One call to the store on behalf of all VMs that asked for the same.
+ * One call to the store, shared by all VMs that requested the same.
  *
- * <p>Invariant: each asker gets one answer. Confined to the event loop.
+ * <p>Invariant: each requester gets one response. Not thread-safe; confined to the event loop.
  */
 final class RelayedCall {
 
     private static final int TOO_LARGE = 413;
 
-    private static final Set<String> OF_THE_CONNECTION =
+    private static final Set<String> HOP_BY_HOP_HEADERS =
             Set.of("connection", "keep-alive", "content-length", "transfer-encoding", "date");
 
-    private final long begunMillis;
-    private final Set<ServerExchange> askers = new LinkedHashSet<>();
+    private final long startMillis;
+    private final Set<ServerExchange> requesters = new LinkedHashSet<>();
     private Runnable onAbandoned = () -> {};
     private Call call;
 
     RelayedCall(final MonotonicClock clock, final ServerExchange first) {
-        begunMillis = clock.millis();
+        startMillis = clock.millis();
         add(Objects.requireNonNull(first, "first is null"));
     }
 
     long ageMillis(final MonotonicClock clock) {
-        return clock.millis() - begunMillis;
+        return clock.millis() - startMillis;
     }
 
-    void add(final ServerExchange asker) {
-        askers.add(asker);
-        asker.onClosed(() -> leave(asker));
+    void add(final ServerExchange requester) {
+        requesters.add(requester);
+        requester.onClosed(() -> onClosed(requester));
     }
 
-    /** Registers what to do when no asker is left that waits. */
+    /** Sets the action to run when no requester is left. */
     void onAbandoned(final Runnable action) {
         onAbandoned = action;
     }
 
     void attach(final Call made) {
         call = made;
-        abandonIfUnwanted();
+        abandonIfUnused();
     }
 
     /**
-     * Hands the answer on.
+     * Sends the response to the requesters.
      *
-     * @param whole the answer
-     * @param most how many askers may get it, one at least; the others are told to ask by
-     *     themselves
+     * @param whole the response of the store
+     * @param maxResponses how many requesters may get it, at least one; the others get 413 and call
+     *     the store directly
      */
-    void answer(final Responses.Whole whole, final long most) {
+    void respond(final Responses.Whole whole, final long maxResponses) {
         final Map<String, String> headers = endToEnd(whole.headers());
-        long answered = 0;
-        for (final ServerExchange asker : List.copyOf(askers)) {
-            if (answered < Math.max(1, most)) {
-                answered++;
-                asker.respond(whole.status(), headers, whole.body());
+        long responded = 0;
+        for (final ServerExchange requester : List.copyOf(requesters)) {
+            if (responded < Math.max(1, maxResponses)) {
+                responded++;
+                requester.respond(whole.status(), headers, whole.body());
             } else {
-                asker.respond(TOO_LARGE, "text/plain", "");
+                requester.respond(TOO_LARGE, "text/plain", "");
             }
         }
-        askers.clear();
+        requesters.clear();
     }
 
     /**
-     * Returns the headers that belong to the answer and not to the connection that it came by. The
-     * store says in one of them how often it has come back from an older copy; without it, VMs that
-     * ask through this one would take answers of two histories for one.
+     * Returns the end-to-end headers. One of them carries the store's era, without which VMs behind
+     * this relay could mix responses of two eras.
      */
     private static Map<String, String> endToEnd(final HttpHeaders headers) {
         final Map<String, String> kept = new LinkedHashMap<>();
         for (final Map.Entry<String, String> header : headers) {
-            if (!OF_THE_CONNECTION.contains(header.getKey().toLowerCase(Locale.ROOT))) {
+            if (!HOP_BY_HOP_HEADERS.contains(header.getKey().toLowerCase(Locale.ROOT))) {
                 kept.put(header.getKey(), header.getValue());
             }
         }
@@ -91,28 +90,28 @@
     }
 
     /**
-     * Tells all askers that there is no answer.
+     * Fails the call for all requesters.
      *
-     * @param status the status to answer with; zero to close the connection
+     * @param status the status to respond with; zero to close the connection
      */
     void fail(final int status) {
-        for (final ServerExchange asker : List.copyOf(askers)) {
+        for (final ServerExchange requester : List.copyOf(requesters)) {
             if (status > 0) {
-                asker.respond(status, "text/plain", "");
+                requester.respond(status, "text/plain", "");
             } else {
-                asker.abort();
+                requester.abort();
             }
         }
-        askers.clear();
+        requesters.clear();
     }
 
-    private void leave(final ServerExchange asker) {
-        askers.remove(asker);
-        abandonIfUnwanted();
+    private void onClosed(final ServerExchange requester) {
+        requesters.remove(requester);
+        abandonIfUnused();
     }
 
-    private void abandonIfUnwanted() {
-        if (askers.isEmpty() && call != null) {
+    private void abandonIfUnused() {
+        if (requesters.isEmpty() && call != null) {
             call.cancel();
             onAbandoned.run();
         }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/RolloutAges.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/RolloutAges.java
@@ -15,72 +15,77 @@
 import org.fennelstage.log.EventLog;
 
 /**
- * Tells VMs that started in the middle of a roll-out how old its order is.
+ * Sends the age of a rollout order to VMs that started during the rollout.
  *
- * <p>All VMs choose versions by the time since the order. One that did not hear the order being
- * given has only a time of day for it, and those of two VMs may lie seconds apart. Confined to the
- * event loop.
+ * <p>All VMs choose versions by the time since the order. A VM that did not receive the order when
+ * it was given derives that time from wall clocks, which may differ by seconds between VMs. Not
+ * thread-safe; confined to the event loop.
  */
 final class RolloutAges {
 
-    /** How often a VM hears the age a few times; milliseconds. One that starts waits as long. */
+    /**
+     * Time in which each VM receives the age a few times, and initial delay of sending;
+     * milliseconds.
+     */
     private static final long PERIOD_MILLIS = 500;
 
     /**
-     * VMs of which each tells the age once a period; of more, as many do, at random times. Did all
-     * tell it that often, a VM of a large data centre would hear more words than it has requests.
+     * Number of VMs up to which each sends the age once a period. In a larger group about this many
+     * send in a period, at random times, so that the messages a VM receives do not grow with the
+     * group.
      */
-    private static final int MOST_TELLERS = 6;
+    private static final int MAX_SENDERS_PER_PERIOD = 6;
 
-    /** From which change on a correction is logged; milliseconds. Less is the messages' delay. */
-    private static final long LOGGED_FROM_MILLIS = 50;
+    /** Smallest correction that is logged; milliseconds. Less is within the delay of messages. */
+    private static final long MIN_LOGGED_CHANGE_MILLIS = 50;
 
     private final Beliefs beliefs;
-    private final Supplier<List<InetSocketAddress>> others;
-    private final BiConsumer<PeerMessage, List<InetSocketAddress>> tell;
+    private final Supplier<List<InetSocketAddress>> peers;
+    private final BiConsumer<PeerMessage, List<InetSocketAddress>> send;
     private final RandomGenerator random;
     private long dueMillis;
 
     RolloutAges(
             final Beliefs beliefs,
-            final Supplier<List<InetSocketAddress>> others,
-            final BiConsumer<PeerMessage, List<InetSocketAddress>> tell,
+            final Supplier<List<InetSocketAddress>> peers,
+            final BiConsumer<PeerMessage, List<InetSocketAddress>> send,
             final RandomGenerator random) {
         this.beliefs = Objects.requireNonNull(beliefs, "beliefs is null");
-        this.others = Objects.requireNonNull(others, "others is null");
-        this.tell = Objects.requireNonNull(tell, "tell is null");
+        this.peers = Objects.requireNonNull(peers, "peers is null");
+        this.send = Objects.requireNonNull(send, "send is null");
         this.random = Objects.requireNonNull(random, "random is null");
         this.dueMillis = beliefs.clock().millis() + PERIOD_MILLIS;
     }
 
-    /**
-     * Tells the age of each running roll-out if it is time to. To be called a few times a second.
-     */
+    /** Sends the age of each running rollout if it is due. Called a few times a second. */
     void sendDue() {
         if (beliefs.clock().millis() < dueMillis) {
             return;
         }
-        dueMillis = beliefs.clock().millis() + pauseMillis();
+        dueMillis = beliefs.clock().millis() + nextDelayMillis();
         for (final Canary canary : beliefs.canaries().values()) {
-            canary.age().ifPresent(age -> tell.accept(new PeerMessage.Rollout(age), others.get()));
+            canary.age().ifPresent(age -> send.accept(new PeerMessage.Rollout(age), peers.get()));
         }
     }
 
-    /** Spread, since VMs that start together would tell it together, and then nobody for long. */
-    private long pauseMillis() {
-        final int tellers = others.get().size() + 1;
-        if (tellers <= MOST_TELLERS) {
+    /**
+     * Returns a random delay in a large group, so that VMs that started together do not send
+     * together.
+     */
+    private long nextDelayMillis() {
+        final int senders = peers.get().size() + 1;
+        if (senders <= MAX_SENDERS_PER_PERIOD) {
             return PERIOD_MILLIS;
         }
-        final double mean = (double) PERIOD_MILLIS * tellers / MOST_TELLERS;
+        final double mean = (double) PERIOD_MILLIS * senders / MAX_SENDERS_PER_PERIOD;
         return Math.round(mean * 2 * random.nextDouble());
     }
 
-    /** Takes what another VM tells. */
+    /** Applies the age that another VM sent. */
     void onAge(final RolloutAge age) {
         final Optional<Canary> canary = Optional.ofNullable(beliefs.canaries().get(age.service()));
         final Duration change = canary.map(c -> c.onAge(age)).orElse(Duration.ZERO);
-        if (Math.abs(change.toMillis()) >= LOGGED_FROM_MILLIS) {
+        if (Math.abs(change.toMillis()) >= MIN_LOGGED_CHANGE_MILLIS) {
             EventLog.write(
                     Event.ROLLOUT_AGE,
                     "service",
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/RolloutFeed.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/RolloutFeed.java
@@ -25,37 +25,40 @@
 import org.fennelstage.store.StoredValue;
 
 /**
- * Brings orders to roll versions out into the canaries, and what the canaries find into the store.
+ * Applies rollout orders from the store, and writes the phases that this VM determines to it.
  *
- * <p>Every VM may write; the write is conditional, so one of them wins and the others learn of it
- * from their watch. Confined to the event loop.
+ * <p>Every VM may write; the write is conditional, so one succeeds and the others receive it by
+ * their watch. Not thread-safe; confined to the event loop.
  */
 final class RolloutFeed implements Follower.Listener<RolloutOrder> {
 
-    /** Turns waited for at most: a roll-out's last part may be half a second long. */
-    private static final int MOST_TURNS = 4;
+    /**
+     * Rank from which on the delay of a write no longer grows: the last step of a rollout may take
+     * only half a second.
+     */
+    private static final int MAX_RANK = 4;
 
     /** A phase that is to be written. */
-    private record Due(String target, RolloutPhase phase) {}
+    private record PendingPhase(String target, RolloutPhase phase) {}
 
     private final Beliefs beliefs;
     private final Store store;
-    private final Turns<ServiceName> turns;
+    private final TaskStagger<ServiceName> stagger;
     private final InstantSource wallClock;
     private final Runnable afterList;
     private final Set<ServiceName> writing = new HashSet<>();
-    private final Map<ServiceName, Due> due = new HashMap<>();
+    private final Map<ServiceName, PendingPhase> pending = new HashMap<>();
 
     RolloutFeed(
             final Beliefs beliefs,
             final Store store,
             final InstantSource wallClock,
-            final ToIntFunction<String> turnAt,
+            final ToIntFunction<String> rankFor,
             final Runnable afterList) {
         this.beliefs = Objects.requireNonNull(beliefs, "beliefs is null");
         this.store = Objects.requireNonNull(store, "store is null");
         this.wallClock = Objects.requireNonNull(wallClock, "wallClock is null");
-        this.turns = new Turns<>(turnAt, MOST_TURNS, beliefs.clock());
+        this.stagger = new TaskStagger<>(rankFor, MAX_RANK, beliefs.clock());
         this.afterList = Objects.requireNonNull(afterList, "afterList is null");
     }
 
@@ -67,7 +70,7 @@
 
     @Override
     public void onChange(final StoredValue<RolloutOrder> change) {
-        change.value().ifPresent(this::take);
+        change.value().ifPresent(this::onOrder);
     }
 
     @Override
@@ -75,7 +78,7 @@
         beliefs.onOrdersKnownTo(position);
     }
 
-    private void take(final RolloutOrder order) {
+    private void onOrder(final RolloutOrder order) {
         final Duration elapsed = elapsed(order);
         if (!beliefs.canary(order.service()).onOrder(order, elapsed)) {
             return;
@@ -96,7 +99,10 @@
                 order.duration().toMillis());
     }
 
-    /** The time of day may have been set since; the result is kept within the roll-out's time. */
+    /**
+     * Returns the time since the order, limited to the duration of the rollout since wall clocks
+     * may have been set.
+     */
     private Duration elapsed(final RolloutOrder order) {
         final Duration sinceBegin =
                 order.begunAt()
@@ -108,7 +114,7 @@
         return sinceBegin.compareTo(order.duration()) > 0 ? order.duration() : sinceBegin;
     }
 
-    /** Writes what is due. To be called a few times a second. */
+    /** Writes the phases that are due. Called a few times a second. */
     void writeDue() {
         beliefs.canaries().forEach(this::writeDue);
     }
@@ -116,28 +122,28 @@
     private void writeDue(final ServiceName service, final Canary canary) {
         final Optional<RolloutPhase> phase = canary.due();
         if (phase.isEmpty()) {
-            due.remove(service);
-            turns.forget(service);
+            pending.remove(service);
+            stagger.clear(service);
             return;
         }
         final String target = canary.order().orElseThrow().target();
         final boolean urgent = phase.get() == RolloutPhase.ROLLED_BACK && !canary.repeats();
-        final boolean ownTurn = urgent || isOwnTurn(service, new Due(target, phase.get()));
-        if (ownTurn && writing.add(service)) {
+        final boolean allowed = urgent || mayWrite(service, new PendingPhase(target, phase.get()));
+        if (allowed && writing.add(service)) {
             write(service, canary, phase.get());
         }
     }
 
     /**
-     * Lets one VM after the other write what all of them find due at the same time; each write is
-     * paid for, and all but one would be in vain. A halt is found by few, and is urgent; one that
-     * the store lost when it came back from an older copy is known to all.
+     * Returns whether this VM may write a phase now. Writes are staggered, since all VMs determine
+     * most phases at the same time. A halt is urgent and determined by few VMs, so it is not
+     * staggered, unless a restored store lost it: then all VMs write it again.
      */
-    private boolean isOwnTurn(final ServiceName service, final Due now) {
-        if (!now.equals(due.put(service, now))) {
-            turns.forget(service);
+    private boolean mayWrite(final ServiceName service, final PendingPhase current) {
+        if (!current.equals(pending.put(service, current))) {
+            stagger.clear(service);
         }
-        return turns.isOwn(service, now.target());
+        return stagger.mayAct(service, current.target());
     }
 
     private void write(final ServiceName service, final Canary canary, final RolloutPhase phase) {
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/ServerFeed.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/ServerFeed.java
@@ -13,7 +13,10 @@
 import org.fennelstage.store.StoreKind;
 import org.fennelstage.store.StoredValue;
 
-/** Brings news of workers into the table. Confined to the event loop. */
+/**
+ * Applies changes of backend server entries to the table. Not thread-safe; confined to the event
+ * loop.
+ */
 final class ServerFeed implements Follower.Listener<ServerEntry> {
 
     private final Beliefs beliefs;
@@ -68,7 +71,7 @@
         id(value.name()).ifPresent(servers::reject);
     }
 
-    /** Another writer may use names that no worker can have; those name no worker. */
+    /** Returns the id in a name, empty if the name is invalid. */
     private static Optional<BackendServerId> id(final String name) {
         try {
             return Optional.of(BackendServerId.of(name));
@@ -99,8 +102,8 @@
         beliefs.onStoreReplaced();
     }
 
-    /** Drops entries that lapsed while the store was away and did not come back. */
-    void dropLapsed() {
+    /** Removes entries that expired while the store was unavailable and were not renewed. */
+    void removeExpired() {
         servers.dropLapsed().forEach(id -> EventLog.write(Event.SERVER_LAPSED, "server", id));
     }
 }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/SettingsException.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/SettingsException.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** The settings file cannot be used. */
+/** Thrown when the settings file is invalid or cannot be read. */
 public final class SettingsException extends Exception {
 
     private static final long serialVersionUID = 1L;
@@ -12,7 +12,7 @@
     /**
      * Creates the exception.
      *
-     * @param mistakes every mistake found, one line each
+     * @param mistakes all errors found, one line each
      */
     public SettingsException(final List<String> mistakes) {
         super(String.join("; ", mistakes));
@@ -20,9 +20,9 @@
     }
 
     /**
-     * Returns every mistake found.
+     * Returns all errors found.
      *
-     * @return one line each
+     * @return one line per error
      */
     public List<String> mistakes() {
         return mistakes;
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/SettingsWatch.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/SettingsWatch.java
@@ -9,31 +9,30 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Notices that the settings file has changed, also if nobody says so by a signal.
+ * Detects changes of the settings file by polling its modification time.
  *
- * <p>Runs on a thread of its own, so that a slow file system does not hold up requests.
- * Thread-safe.
+ * <p>Runs on a thread of its own, so that a slow file system does not delay requests. Thread-safe.
  */
 final class SettingsWatch {
 
-    /** How often the file's time is looked at; changes of settings are rare and not urgent. */
+    /** Time between two checks; milliseconds. */
     private static final long PERIOD_MILLIS = 2_000;
 
     private final Path file;
     private final Runnable onChange;
-    private Optional<FileTime> seen;
+    private Optional<FileTime> lastModified;
 
     private SettingsWatch(final Path file, final Runnable onChange) {
         this.file = file;
         this.onChange = onChange;
-        this.seen = modified();
+        this.lastModified = readLastModified();
     }
 
     /**
-     * Starts to watch a file.
+     * Starts watching a file.
      *
      * @param file the file
-     * @param onChange runs after each change, on the watch's thread
+     * @param onChange runs after each change, on the watching thread
      * @return the watch
      */
     static SettingsWatch start(final Path file, final Runnable onChange) {
@@ -47,11 +46,11 @@
         return watch;
     }
 
-    /** Looks at the file once. */
-    synchronized void look() {
-        final Optional<FileTime> now = modified();
-        if (now.isPresent() && !now.equals(seen)) {
-            seen = now;
+    /** Checks the file once. */
+    synchronized void check() {
+        final Optional<FileTime> current = readLastModified();
+        if (current.isPresent() && !current.equals(lastModified)) {
+            lastModified = current;
             onChange.run();
         }
     }
@@ -60,15 +59,18 @@
         try {
             while (true) {
                 TimeUnit.MILLISECONDS.sleep(PERIOD_MILLIS);
-                look();
+                check();
             }
         } catch (final InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** A file that is being replaced may be missing for a moment; the next look finds it. */
-    private Optional<FileTime> modified() {
+    /**
+     * Returns the modification time, empty while the file is missing, such as during its
+     * replacement.
+     */
+    private Optional<FileTime> readLastModified() {
         try {
             return Optional.of(Files.getLastModifiedTime(file));
         } catch (final IOException e) {
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/StoreRelay.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/StoreRelay.java
@@ -22,47 +22,44 @@
 import org.fennelstage.time.MonotonicClock;
 
 /**
- * Passes other VMs' calls on to the store, unread.
+ * Forwards store calls of other VMs to the store without parsing them.
  *
- * <p>Reads that are alike and come together are one call to the store, whose answer goes to all who
- * asked: the VMs of a data centre that watch the same revision pay for one watch. A VM that does
- * not reach the store itself refuses at once: while the store is away for all, calls passed on to
- * it would only multiply the calls that are made in vain.
+ * <p>Equal reads that arrive together share one call, so that the VMs of a data centre that watch
+ * the same revision need one watch. A VM that cannot reach the store rejects at once, since
+ * relaying during an outage of the store would only multiply failing calls.
  *
- * <p>Invariant: each asker gets the store's own answer, 503 if the call certainly did not reach the
- * store, 413 if the answer is too large for all who asked, or a closed connection if nobody knows.
- * Confined to the event loop.
+ * <p>Invariant: each requester gets the store's own response, 503 if the call certainly did not
+ * reach the store, 413 if the response is too large for all requesters, or a closed connection if
+ * the outcome is unknown. Not thread-safe; confined to the event loop.
  */
 final class StoreRelay implements RequestHandler {
 
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(300);
 
-    /** Longer than any watch; the askers give up first. */
-    private static final Duration SILENCE = Duration.ofSeconds(35);
+    /** Longer than any watch, so that the requesters time out first. */
+    private static final Duration INACTIVITY_TIMEOUT = Duration.ofSeconds(35);
 
     /**
-     * How old a call may be for others to join it; milliseconds. VMs that heard the same answer ask
-     * again within moments of one another. A call that the store swallowed must not collect new
-     * askers for ever, each of which would wait in vain.
+     * Age up to which a running call may be joined; milliseconds. It covers VMs that call again
+     * after the same response, and keeps a call that hangs from collecting requesters.
      */
     private static final long JOIN_MILLIS = 500;
 
     /**
-     * How long one answer may take this VM's link when it goes to all who asked; seconds. A
-     * configuration of a thousand routes sent to twenty VMs would hold a link of 10 Mbit/s for ten
-     * seconds, and callers with it; those beyond this ask the store by themselves.
+     * Limit of the time for which one shared response may occupy this VM's link; seconds.
+     * Requesters beyond it get 413 and call the store directly.
      */
     private static final double SHARED_LINK_SECONDS = 0.4;
 
     private static final double BYTES_PER_MEGABIT = 125_000;
 
-    private static final int NOT_REACHED = 503;
+    private static final int SERVICE_UNAVAILABLE = 503;
     private static final int SERVER_ERROR = 500;
     private static final int TOO_MANY_CALLS = 429;
 
     private final HttpClient http;
     private final InetSocketAddress store;
-    private final FallbackStore reach;
+    private final FallbackStore fallback;
     private final MonotonicClock clock;
     private final long shareableBytes;
     private final Map<String, RelayedCall> reads = new HashMap<>();
@@ -70,12 +67,12 @@
     StoreRelay(
             final HttpClient http,
             final InetSocketAddress store,
-            final FallbackStore reach,
+            final FallbackStore fallback,
             final double linkMegabits,
             final MonotonicClock clock) {
         this.http = Objects.requireNonNull(http, "http is null");
         this.store = Objects.requireNonNull(store, "store is null");
-        this.reach = Objects.requireNonNull(reach, "reach is null");
+        this.fallback = Objects.requireNonNull(fallback, "fallback is null");
         this.clock = Objects.requireNonNull(clock, "clock is null");
         this.shareableBytes = (long) (linkMegabits * BYTES_PER_MEGABIT * SHARED_LINK_SECONDS);
     }
@@ -88,8 +85,8 @@
             running.add(exchange);
             return;
         }
-        if (!reach.mayRelay()) {
-            exchange.respond(NOT_REACHED, "text/plain", "");
+        if (!fallback.mayRelay()) {
+            exchange.respond(SERVICE_UNAVAILABLE, "text/plain", "");
             return;
         }
         final RelayedCall read = new RelayedCall(clock, exchange);
@@ -115,29 +112,29 @@
         return http.send(
                 store,
                 request,
-                CallOptions.of(CONNECT_TIMEOUT, SILENCE, false),
+                CallOptions.of(CONNECT_TIMEOUT, INACTIVITY_TIMEOUT, false),
                 Responses.collecting(
-                        whole -> onAnswer(uri, read, whole),
+                        whole -> onResponse(uri, read, whole),
                         failure -> onFailure(uri, read, failure)));
     }
 
-    private void onAnswer(final String uri, final RelayedCall read, final Responses.Whole whole) {
+    private void onResponse(final String uri, final RelayedCall read, final Responses.Whole whole) {
         reads.remove(uri, read);
         if (whole.status() >= SERVER_ERROR || whole.status() == TOO_MANY_CALLS) {
-            reach.onRelayFailed("store answered " + whole.status());
+            fallback.onRelayFailed("store responded with status " + whole.status());
         } else {
-            reach.onRelayed();
+            fallback.onRelayed();
         }
-        read.answer(whole, shareableBytes / Math.max(1, whole.body().length));
+        read.respond(whole, shareableBytes / Math.max(1, whole.body().length));
     }
 
     private void onFailure(final String uri, final RelayedCall read, final CallFailure failure) {
         reads.remove(uri, read);
-        reach.onRelayFailed(failure.detail());
-        read.fail(failure.phase() == CallFailure.Phase.NOT_SENT ? NOT_REACHED : 0);
+        fallback.onRelayFailed(failure.detail());
+        read.fail(failure.phase() == CallFailure.Phase.NOT_SENT ? SERVICE_UNAVAILABLE : 0);
     }
 
-    /** All who asked gave up waiting: the store keeps silent, or they left. */
+    /** Removes a call whose requesters have all closed their connections. */
     private void onAbandoned(final String uri, final RelayedCall read) {
         reads.remove(uri, read);
     }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/StoreWatches.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/StoreWatches.java
@@ -12,50 +12,50 @@
 import org.fennelstage.store.WatchPace;
 
 /**
- * What a VM follows in the store, and how often it calls for it. Confined to the event loop.
- *
- * <p>Each call is paid for, also those that wait; each pace says what its kind needs.
+ * Creates the followers of a VM and defines the pace of their store calls. Not thread-safe;
+ * confined to the event loop.
  */
 final class StoreWatches {
 
     /**
-     * Pace of the watch on the configuration. It is the one that notices a store that keeps silent,
-     * and keys that were taken away must be refused a few seconds later.
+     * Pace of the watch on the configuration. Its short wait detects an unresponsive store and
+     * applies the removal of keys within seconds.
      */
     static final WatchPace CONFIGURATION_PACE = WatchPace.ofMillis(2_500, 100);
 
-    /** Pace of the watch on workers: those that leave may get requests for two seconds or more. */
+    /**
+     * Pace of the watch on backend servers. A draining server may receive requests for two seconds.
+     */
     static final WatchPace SERVER_PACE = WatchPace.ofMillis(10_000, 250);
 
     /**
-     * Pace of the watch on workers while this VM has just started. All VMs of a fleet that starts
-     * ask by themselves then, and workers register one after the other: with the usual pause each
-     * VM would call for nearly each of them. A worker that leaves in this time is still heard of
-     * within a second.
+     * Pace of the watch on backend servers while this VM has just started. Each VM calls the store
+     * directly then, and servers register one after the other: the usual pause would cause a call
+     * for nearly each registration. A draining server is still reported within a second.
      */
     static final WatchPace STARTING_SERVER_PACE = WatchPace.ofMillis(10_000, 1_000);
 
-    /** Pace of the watch on roll-outs: a halt must be known at once, and is rare. */
+    /** Pace of the watch on rollouts: a halt is urgent, and rare. */
     static final WatchPace ROLLOUT_PACE = WatchPace.ofMillis(10_000, 0);
 
-    /** Pace of the watch on evacuations: each must be known at once, and they are rare. */
+    /** Pace of the watch on evacuations, which are urgent, and rare. */
     static final WatchPace EVACUATION_PACE = WatchPace.ofMillis(10_000, 0);
 
     /**
-     * Pace of the watch on requests that are refused for ending workers: the VMs tell each other at
-     * once, and the store is for those that missed it or start later. While it is away a call every
-     * few seconds finds its return.
+     * Pace of the watch on the quarantine. VMs report crashes to each other directly; the store
+     * serves those that missed a message or start later. The short backoff finds the end of an
+     * outage.
      */
     static final WatchPace QUARANTINE_PACE =
             WatchPace.ofMillis(30_000, 0).withLongestBackoff(Duration.ofSeconds(4));
 
-    /** Pace of that watch until its first list, for which a VM that starts waits. */
+    /** Pace of the watch on the quarantine until its first list, which readiness requires. */
     static final WatchPace FIRST_QUARANTINE_PACE = WatchPace.ofMillis(30_000, 0);
 
     /**
-     * How long a VM that starts waits after its list of something rare before it watches for it: by
-     * then one VM asks for all of its data centre, and the first watch costs no call. What happens
-     * meanwhile is heard then; new versions of workers make it list again at once.
+     * Pause of a starting VM between its list and its first watch of kinds that change rarely: by
+     * then its data centre coalesces calls, and the watch joins one that is open. Changes of the
+     * meantime arrive with that watch; a new version of a backend server triggers a list at once.
      */
     static final Duration STARTING_LIST_PAUSE = Duration.ofMillis(3_300);
 
@@ -75,7 +75,7 @@
         this.eras = Objects.requireNonNull(eras, "eras is null");
     }
 
-    /** Returns what follows a kind; it does nothing before its start. */
+    /** Returns a follower of a kind; it makes no call before its start. */
     <T> Follower<T> of(
             final StoreKind<T> kind,
             final Supplier<WatchPace> pace,
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/VmMetrics.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/VmMetrics.java
@@ -12,7 +12,10 @@
 import org.fennelstage.log.LogSetup;
 import org.fennelstage.store.EraTracker;
 
-/** Serves a VM's metrics, with gauges of what it believes and holds. Confined to the event loop. */
+/**
+ * Serves a VM's metrics and registers the gauges of its state. Not thread-safe; confined to the
+ * event loop.
+ */
 final class VmMetrics implements RequestHandler {
 
     private static final double MILLIS_PER_SECOND = 1_000;
@@ -25,12 +28,12 @@
             final Beliefs beliefs,
             final Gateway gateway,
             final EraTracker eras,
-            final HttpClient workers) {
+            final HttpClient serverClient) {
         this.metrics = Objects.requireNonNull(metrics, "metrics is null");
         metrics.gauge(
                 "fennelstage_gateway_worker_connections_opened",
                 "Connections opened to workers",
-                workers::connectionsOpened);
+                serverClient::connectionsOpened);
         metrics.gauge(
                 "fennelstage_log_lines_dropped",
                 "Log lines dropped because the queue was full",
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/VmProcess.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/VmProcess.java
@@ -9,9 +9,9 @@
 import sun.misc.Signal;
 
 /**
- * The process around one VM: settings, signals, the end.
+ * The process of one VM: reads its settings, handles signals and exits.
  *
- * <p>SIGTERM stops gracefully; SIGHUP and a change of the settings file put new bounds into force.
+ * <p>SIGTERM stops gracefully; SIGHUP and a change of the settings file apply new bounds.
  * Thread-safe.
  */
 public final class VmProcess {
@@ -37,7 +37,7 @@
         /**
          * Starts a VM.
          *
-         * @param settings who it is
+         * @param settings the settings of the VM
          * @return the running VM
          * @throws IOException if an address cannot be bound
          */
@@ -55,7 +55,7 @@
     }
 
     /**
-     * Starts a VM and returns; the process lives until SIGTERM.
+     * Starts a VM and returns; the process runs until SIGTERM.
      *
      * @param file the settings file
      * @param reader reads it
@@ -82,7 +82,7 @@
         }
     }
 
-    /** Ends the process without shutdown hooks: nothing is left to do, and none may hang. */
+    /** Exits without shutdown hooks, so that none can block the exit. */
     private static void exit() {
         LogSetup.close();
         Runtime.getRuntime().halt(0);
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/VmSettings.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/VmSettings.java
@@ -9,18 +9,18 @@
 import org.fennelstage.policy.Policy;
 
 /**
- * Who a VM is and where it listens. Immutable and thread-safe.
+ * Identity and addresses of a VM, and its deployment's bounds. Immutable and thread-safe.
  *
  * @param vm its id
- * @param dataCentre where it stands
- * @param callers where callers connect
- * @param readiness where the balancer asks whether it takes callers
- * @param readinessPath the path of that question
- * @param metrics where metrics are read, empty for nowhere
- * @param peers where other VMs connect
- * @param store where the store listens
- * @param linkMegabits what the VM's own link carries; megabits a second
- * @param evacuations whether operators may order that a data centre be emptied
+ * @param dataCentre its data centre
+ * @param callers address of the listener for callers
+ * @param readiness address of the listener for the balancer's health checks
+ * @param readinessPath path of the health check
+ * @param metrics address of the metrics listener, empty for none
+ * @param peers address of the listener for other VMs
+ * @param store address of the store
+ * @param linkMegabits bandwidth of the VM's own link; megabits a second
+ * @param evacuations whether operators may evacuate data centres
  * @param bounds the deployment's bounds
  * @param policy the mechanisms in use
  */
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/package-info.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/package-info.java
@@ -1,2 +1,2 @@
-/** The life of one VM's process: start, readiness, news from the store, graceful stop. */
+/** The lifecycle of a VM's process: start, readiness, updates from the store, graceful stop. */
 package org.fennelstage.vm;
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/CrashNewsTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/CrashBroadcastTest.java
@@ -15,43 +15,40 @@
 import org.fennelstage.id.BackendServerId;
 import org.junit.jupiter.api.Test;
 
-class CrashNewsTest {
+class CrashBroadcastTest {
 
     private static final Incarnation SERVER = Incarnation.of(BackendServerId.of("i-1"));
 
-    /** What a datagram may hold. */
-    private static final int MOST_BYTES = 1_400;
+    /** Longest message that is sent; bytes. */
+    private static final int MAX_BYTES = 1_400;
 
     private final AtomicLong now = new AtomicLong(1_000_000);
-    private final List<PeerMessage> told = new ArrayList<>();
-    private final CrashNews news =
-            new CrashNews(List::of, (message, to) -> told.add(message), now::get);
-
-    /**
-     * Symptom: a request ends a fourth and a fifth worker. Events: three VMs each see one end; a
-     * datagram of one of them is lost. Cause: what was told once and lost was never told again.
-     */
+    private final List<PeerMessage> sent = new ArrayList<>();
+    private final CrashBroadcast broadcast =
+            new CrashBroadcast(List::of, (message, to) -> sent.add(message), now::get);
+
+    /** Guards against a report that is lost with one datagram. */
     @Test
-    void anEndIsToldThreeTimesOverMoreThanHalfASecond() {
-        news.onReport(new CrashReport(SERVER, Set.of(new Fingerprint(7))));
-        assertThat(told).hasSize(1);
+    void crashIsSentThreeTimes() {
+        broadcast.onReport(new CrashReport(SERVER, Set.of(new Fingerprint(7))));
+        assertThat(sent).hasSize(1);
         for (int i = 0; i < 20; i++) {
             now.addAndGet(100);
-            news.sendDue();
+            broadcast.sendDue();
         }
-        assertThat(told).hasSize(3).containsOnly(told.get(0));
+        assertThat(sent).hasSize(3).containsOnly(sent.get(0));
     }
 
     @Test
-    void whatOneDatagramCannotHoldGoesIntoSeveral() {
+    void largeReportIsSplitIntoSeveralDatagrams() {
         final Set<Fingerprint> contents =
                 LongStream.range(0, 130)
                         .mapToObj(Fingerprint::new)
                         .collect(Collectors.toUnmodifiableSet());
-        news.onReport(new CrashReport(SERVER, contents));
+        broadcast.onReport(new CrashReport(SERVER, contents));
         final Set<Fingerprint> read = new HashSet<>();
-        for (final PeerMessage message : told) {
-            assertThat(message.text().length()).isLessThanOrEqualTo(MOST_BYTES);
+        for (final PeerMessage message : sent) {
+            assertThat(message.text().length()).isLessThanOrEqualTo(MAX_BYTES);
             read.addAll(((PeerMessage.Crash) message).report().contents());
         }
         assertThat(read).isEqualTo(contents);
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/DrainTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/DrainTest.java
@@ -12,34 +12,32 @@
     private final Drain drain = Drain.of(now::get, Duration.ofSeconds(8));
 
     /**
-     * Symptom: new connections are reset right after a VM was asked to stop. Cause: the process
-     * ended before the balancer had noticed.
+     * Guards against connections that are reset because the process exits before the balancer stops
+     * using it.
      */
     @Test
-    void anIdleVmStaysUntilTheBalancerHasNoticed() {
+    void idleVmDoesNotExitBeforeBalancerIsInformed() {
         now.addAndGet(2_000);
-        assertThat(drain.mayEnd(0)).isFalse();
+        assertThat(drain.mayExit(0)).isFalse();
         now.addAndGet(500);
-        assertThat(drain.mayEnd(0)).isTrue();
+        assertThat(drain.mayExit(0)).isTrue();
     }
 
     /**
-     * Symptom: a long answer is cut when its VM is stopped. Events: the VM is asked to stop, a
-     * caller begins a long request on a kept connection four seconds later. Cause: kept connections
-     * stayed open until the end.
+     * Guards against long responses cut by the exit because they start late on an idle connection.
      */
     @Test
-    void keptConnectionsAreClosedOnceTheBalancerHasNoticed() {
-        assertThat(drain.balancerKnows()).isFalse();
+    void balancerIsInformedAfterDelay() {
+        assertThat(drain.isBalancerInformed()).isFalse();
         now.addAndGet(2_500);
-        assertThat(drain.balancerKnows()).isTrue();
+        assertThat(drain.isBalancerInformed()).isTrue();
     }
 
     @Test
-    void requestsUnderWayKeepTheVmUntilShortlyBeforeTheEndOfItsGrace() {
+    void requestsInFlightDelayExitUntilEndOfGrace() {
         now.addAndGet(7_000);
-        assertThat(drain.mayEnd(1)).isFalse();
+        assertThat(drain.mayExit(1)).isFalse();
         now.addAndGet(600);
-        assertThat(drain.mayEnd(1)).isTrue();
+        assertThat(drain.mayExit(1)).isTrue();
     }
 }
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/LoadCollectionTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/LoadCollectionTest.java
@@ -38,7 +38,7 @@
     private final EventLoop loop = new DefaultEventLoop();
     private final AtomicLong now = new AtomicLong(1_000_000);
     private final Map<InetSocketAddress, Vm> vms = new LinkedHashMap<>();
-    private final Set<Vm> dead = new HashSet<>();
+    private final Set<Vm> stopped = new HashSet<>();
     private int datagrams;
 
     @AfterEach
@@ -57,22 +57,22 @@
         private Vm(final VmEntry entry) {
             this.entry = entry;
             this.peers = new Peers(entry, address -> new ManualStore(), count -> {});
-            this.collection = new LoadCollection(entry.vm(), peers, board, this::tell, now::get);
+            this.collection = new LoadCollection(entry.vm(), peers, board, this::send, now::get);
         }
 
-        private void tell(final PeerMessage message, final List<InetSocketAddress> to) {
+        private void send(final PeerMessage message, final List<InetSocketAddress> to) {
             for (final InetSocketAddress address : to) {
                 datagrams++;
                 final Vm other = vms.get(address);
-                if (!dead.contains(other)) {
-                    other.take(PeerMessage.parse(message.text()).orElseThrow());
+                if (!stopped.contains(other)) {
+                    other.receive(PeerMessage.parse(message.text()).orElseThrow());
                 }
             }
         }
 
-        private void take(final PeerMessage message) {
-            if (message instanceof PeerMessage.Loads told) {
-                collection.onLoads(told);
+        private void receive(final PeerMessage message) {
+            if (message instanceof PeerMessage.Loads reported) {
+                collection.onLoads(reported);
             } else if (message instanceof PeerMessage.LoadSums sums) {
                 collection.onSums(sums);
             }
@@ -112,31 +112,29 @@
         for (int i = 0; i < count; i++) {
             now.addAndGet(PERIOD_MILLIS);
             vms.values().stream()
-                    .filter(vm -> !dead.contains(vm))
+                    .filter(vm -> !stopped.contains(vm))
                     .forEach(vm -> vm.collection.exchange(vm.loads));
         }
     }
 
-    private Vm first() {
-        final VmId first = vms.values().iterator().next().peers.ranked().get(0);
+    private Vm collector() {
+        final VmId collector = vms.values().iterator().next().peers.dataCentreVms().get(0);
         return vms.values().stream()
-                .filter(v -> v.entry.vm().equals(first))
+                .filter(v -> v.entry.vm().equals(collector))
                 .findAny()
                 .orElseThrow();
     }
 
     @Test
-    void eachVmKnowsWhatAllOthersHave() {
+    void eachVmKnowsLoadsOfAllOthers() {
         startFleet(VMS);
         periods(3);
         assertThat(vms.values()).allSatisfy(vm -> assertThat(vm.others()).isEqualTo(VMS - 1));
     }
 
-    /**
-     * Guards against datagrams that grow with the square of the fleet and take more than requests.
-     */
+    /** Guards against messages that grow with the square of the fleet. */
     @Test
-    void aPeriodCostsTwoDatagramsAVm() {
+    void periodCostsAtMostTwoDatagramsPerVm() {
         startFleet(VMS);
         periods(3);
         datagrams = 0;
@@ -144,40 +142,38 @@
         assertThat(datagrams).isLessThanOrEqualTo(2 * VMS);
     }
 
-    /**
-     * Guards against a data centre that knows no loads because the VM that collects them is gone.
-     */
+    /** Guards against a data centre without loads after the failure of its collector. */
     @Test
-    void theNextVmCollectsWhenTheFirstIsGone() {
+    void nextVmCollectsAfterCollectorFails() {
         startFleet(VMS);
         periods(3);
-        final Vm gone = first();
-        dead.add(gone);
+        final Vm failed = collector();
+        stopped.add(failed);
         periods(8);
         assertThat(vms.values())
-                .filteredOn(vm -> !vm.equals(gone))
+                .filteredOn(vm -> !vm.equals(failed))
                 .allSatisfy(vm -> assertThat(vm.others()).isEqualTo(VMS - 2));
     }
 
-    /** Guards against seconds without loads, again and again, for a VM that never comes back. */
+    /** Guards against repeated intervals without loads because of a VM that never returns. */
     @Test
-    void aVmThatIsGoneForGoodIsTriedLessAndLessOften() {
+    void failedCollectorIsRetriedWithBackoff() {
         startFleet(VMS);
         periods(3);
-        final Vm gone = first();
-        dead.add(gone);
-        int without = 0;
+        final Vm failed = collector();
+        stopped.add(failed);
+        int incompletePeriods = 0;
         for (int i = 0; i < 200; i++) {
             periods(1);
-            final boolean unaware =
-                    vms.values().stream().anyMatch(vm -> vm != gone && vm.others() < VMS - 2);
-            without += unaware ? 1 : 0;
+            final boolean incomplete =
+                    vms.values().stream().anyMatch(vm -> vm != failed && vm.others() < VMS - 2);
+            incompletePeriods += incomplete ? 1 : 0;
         }
-        assertThat(without).isLessThan(200 / 10);
+        assertThat(incompletePeriods).isLessThan(200 / 10);
     }
 
     @Test
-    void vmsThatHaveNothingSayNothing() {
+    void vmsWithoutLoadSendNothing() {
         startFleet(VMS);
         vms.values().forEach(vm -> vm.loads = Map.of());
         periods(5);
@@ -185,7 +181,7 @@
     }
 
     @Test
-    void aVmWhoseLoadIsGoneSaysSoOnce() {
+    void endOfLoadIsReported() {
         startFleet(VMS);
         periods(3);
         vms.values().forEach(vm -> vm.loads = Map.of());
@@ -194,10 +190,10 @@
     }
 
     @Test
-    void sumsOfMoreWorkersThanADatagramHoldsComeInParts() {
+    void sumsOfManyServersAreSentInParts() {
         startFleet(VMS);
         final Map<BackendServerId, Load> many = new HashMap<>();
-        for (int i = 0; i < 3 * LoadCollection.MOST_SERVERS; i++) {
+        for (int i = 0; i < 3 * LoadCollection.MAX_SERVERS; i++) {
             many.put(BackendServerId.of("i-" + i), new Load(1, 10));
         }
         vms.values().forEach(vm -> vm.loads = many);
@@ -210,8 +206,8 @@
     }
 
     @Test
-    void aSmallDataCentreHasNoCollector() {
+    void smallDataCentreUsesNoCollector() {
         startFleet(6);
-        assertThat(first().collection.isInUse()).isFalse();
+        assertThat(collector().collection.isInUse()).isFalse();
     }
 }
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/PeerMessageTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/PeerMessageTest.java
@@ -26,8 +26,7 @@
 class PeerMessageTest {
 
     @Property(tries = 200)
-    void aReportOfLoadsIsReadAsItWasWritten(
-            @ForAll final List<@IntRange(max = 999_999) Integer> counts) {
+    void loadsRoundTrip(@ForAll final List<@IntRange(max = 999_999) Integer> counts) {
         final Map<BackendServerId, Load> loads = new HashMap<>();
         for (int i = 0; i < counts.size(); i++) {
             loads.put(BackendServerId.of("i-" + i), new Load(counts.get(i), counts.get(i) * 7L));
@@ -37,21 +36,21 @@
     }
 
     @Test
-    void aWorkerThatCouldNotBeReachedIsReadWithItsBirth() {
+    void unreachableRoundTrip() {
         final PeerMessage message =
                 new PeerMessage.Unreachable(new Incarnation(BackendServerId.of("i-7"), 12));
         assertThat(PeerMessage.parse(message.text())).contains(message);
     }
 
     @Test
-    void aWorkerThatLeavesIsReadWithItsBirth() {
+    void drainingRoundTrip() {
         final PeerMessage message =
-                new PeerMessage.Leaving(new Incarnation(BackendServerId.of("i-7"), 12));
+                new PeerMessage.Draining(new Incarnation(BackendServerId.of("i-7"), 12));
         assertThat(PeerMessage.parse(message.text())).contains(message);
     }
 
     @Test
-    void theAgeOfARolloutIsReadAsItWasWritten() {
+    void rolloutAgeRoundTrip() {
         final PeerMessage message =
                 new PeerMessage.Rollout(
                         new RolloutAge(
@@ -60,7 +59,7 @@
     }
 
     @Property(tries = 200)
-    void theEndOfAWorkerIsReadWithTheRequestsThatItHad(@ForAll @NotEmpty final Set<Long> bits) {
+    void crashRoundTrip(@ForAll @NotEmpty final Set<Long> bits) {
         final Set<Fingerprint> contents = new HashSet<>();
         bits.forEach(b -> contents.add(new Fingerprint(b)));
         final PeerMessage message =
@@ -70,9 +69,9 @@
     }
 
     @Test
-    void anAnsweredRequestIsReadWithTheEndsThatCountNoLonger() {
+    void crashesClearedRoundTrip() {
         final PeerMessage message =
-                new PeerMessage.Answered(
+                new PeerMessage.CrashesCleared(
                         new Acquittal(
                                 new Fingerprint(-1),
                                 Set.of(
@@ -82,7 +81,7 @@
     }
 
     @Property(tries = 500)
-    void anyTextIsReadWithoutAnError(@ForAll final String text) {
+    void arbitraryTextParsesWithoutException(@ForAll final String text) {
         assertThat(PeerMessage.parse(text)).isNotNull();
         assertThat(PeerMessage.parse("loads vm " + text)).isNotNull();
         assertThat(PeerMessage.parse("unreachable " + text)).isNotNull();
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/PeerNewsTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/PeerMessengerTest.java
@@ -19,13 +19,13 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-class PeerNewsTest {
+class PeerMessengerTest {
 
-    private static final int PATIENCE_SECONDS = 10;
+    private static final int TIMEOUT_SECONDS = 10;
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final AtomicLong now = new AtomicLong(1_000_000);
-    private final BlockingQueue<PeerMessage> heard = new LinkedBlockingQueue<>();
+    private final BlockingQueue<PeerMessage> received = new LinkedBlockingQueue<>();
 
     @AfterEach
     void stopLoops() {
@@ -38,40 +38,40 @@
         }
     }
 
-    private PeerNews start(final InetSocketAddress own, final List<InetSocketAddress> others)
+    private PeerMessenger start(final InetSocketAddress own, final List<InetSocketAddress> others)
             throws IOException {
-        return PeerNews.start(group.next(), own, () -> others, now::get, heard::add);
+        return PeerMessenger.start(group.next(), own, () -> others, now::get, received::add);
     }
 
-    private static Incarnation worker(final String id) {
+    private static Incarnation incarnation(final String id) {
         return Incarnation.of(BackendServerId.of(id));
     }
 
     private Incarnation next() throws InterruptedException {
-        final PeerMessage message = heard.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+        final PeerMessage message = received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         return ((PeerMessage.Unreachable) message).server();
     }
 
     @Test
-    void theOthersHearOfAWorkerOnceASecond() throws Exception {
+    void unreachableServerIsReportedOnceASecond() throws Exception {
         final InetSocketAddress second = freeAddress();
         start(second, List.of());
-        final PeerNews first = start(freeAddress(), List.of(second));
-        first.tell(worker("i-1"));
-        first.tell(worker("i-1"));
-        first.tell(worker("i-2"));
+        final PeerMessenger first = start(freeAddress(), List.of(second));
+        first.reportUnreachable(incarnation("i-1"));
+        first.reportUnreachable(incarnation("i-1"));
+        first.reportUnreachable(incarnation("i-2"));
         now.addAndGet(1_000);
-        first.tell(worker("i-1"));
+        first.reportUnreachable(incarnation("i-1"));
         assertThat(List.of(next(), next(), next()))
                 .extracting(i -> i.server().value())
                 .containsExactlyInAnyOrder("i-1", "i-2", "i-1");
     }
 
     @Test
-    void anythingElseThatArrivesIsPassedOver() throws Exception {
+    void invalidMessagesAreIgnored() throws Exception {
         final InetSocketAddress own = freeAddress();
         start(own, List.of());
-        try (DatagramSocket stranger = new DatagramSocket()) {
+        try (DatagramSocket sender = new DatagramSocket()) {
             final List<String> messages =
                     List.of(
                             "",
@@ -82,10 +82,10 @@
                             "unreachable i-1 17");
             for (final String message : messages) {
                 final byte[] bytes = message.getBytes(StandardCharsets.UTF_8);
-                stranger.send(new DatagramPacket(bytes, bytes.length, own));
+                sender.send(new DatagramPacket(bytes, bytes.length, own));
             }
         }
         assertThat(next()).isEqualTo(new Incarnation(BackendServerId.of("i-1"), 17));
-        assertThat(heard).isEmpty();
+        assertThat(received).isEmpty();
     }
 }
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/PeersTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/PeersTest.java
@@ -40,14 +40,14 @@
                 new ServerAddress("10.0.0." + number, 7000));
     }
 
-    private Peers knowing(final VmEntry own, final List<VmEntry> all) {
+    private Peers peersKnowing(final VmEntry own, final List<VmEntry> all) {
         final Peers peers =
                 new Peers(own, a -> stores.computeIfAbsent(a, b -> new ManualStore()), count -> {});
         final ManualStore store = new ManualStore();
         peers.start(loop, store);
         final StoreAnswer<Page<VmEntry>> list = list(all);
         store.answer(list);
-        assertThat(peers.coalescing()).as("just started").isEmpty();
+        assertThat(peers.coalescingRelays()).as("just started").isEmpty();
         peers.start(loop, store);
         store.answer(list);
         return peers;
@@ -75,48 +75,45 @@
     }
 
     @Test
-    void allVmsOfADataCentreAgreeOnWhoAsksTheStore() {
+    void vmsOfDataCentreAgreeOnOrderOfCoalescingRelays() {
         final List<VmEntry> all = dataCentre("dc-a", 1, 8);
         all.addAll(dataCentre("dc-b", 20, 8));
-        final List<Store> expected = knowing(all.get(0), all).coalescing();
+        final List<Store> expected = peersKnowing(all.get(0), all).coalescingRelays();
         assertThat(expected).hasSize(8);
         for (final VmEntry own : all.subList(1, 8)) {
-            assertThat(knowing(own, all).coalescing()).isEqualTo(expected);
+            assertThat(peersKnowing(own, all).coalescingRelays()).isEqualTo(expected);
         }
-        assertThat(knowing(all.get(8), all).coalescing()).doesNotContainAnyElementsOf(expected);
+        assertThat(peersKnowing(all.get(8), all).coalescingRelays())
+                .doesNotContainAnyElementsOf(expected);
     }
 
     @Test
-    void newsGoesToTheOtherVmsOfTheDataCentre() {
+    void dataCentrePeersAreOtherVmsOfSameDataCentre() {
         final List<VmEntry> all = dataCentre("dc-a", 1, 3);
         all.addAll(dataCentre("dc-b", 20, 8));
-        assertThat(knowing(all.get(0), all).nearOthers())
+        assertThat(peersKnowing(all.get(0), all).dataCentrePeers())
                 .containsExactly(
                         Sockets.address(all.get(1).address()),
                         Sockets.address(all.get(2).address()));
     }
 
     @Test
-    void inASmallDataCentreEachVmAsksByItself() {
+    void smallDataCentreDoesNotCoalesceCalls() {
         final List<VmEntry> all = dataCentre("dc-a", 1, 3);
         all.addAll(dataCentre("dc-b", 20, 8));
-        assertThat(knowing(all.get(0), all).coalescing()).isEmpty();
+        assertThat(peersKnowing(all.get(0), all).coalescingRelays()).isEmpty();
     }
 
-    /**
-     * Symptom: after the store's return from an older copy VMs find no way around it, and take more
-     * than their part of what the fleet shares. Events: the copy was made before most VMs started.
-     * Cause: a VM knew the others by the last list alone.
-     */
+    /** Guards against forgetting VMs that a store restored from an older copy no longer lists. */
     @Test
-    void aVmThatTheStoreLostIsStillKnownAndOneThatIsLackingEntersItself() {
+    void restoredListRemovesNoVmAndMissingVmWritesItsEntry() {
         final List<VmEntry> all = dataCentre("dc-a", 1, 8);
-        final Peers peers = knowing(all.get(0), all);
-        final List<Store> before = peers.coalescing();
+        final Peers peers = peersKnowing(all.get(0), all);
+        final List<Store> before = peers.coalescingRelays();
         final ManualStore store = new ManualStore();
         peers.start(loop, store);
         store.answer(list(all.subList(1, 3)));
-        assertThat(peers.coalescing()).isEqualTo(before);
+        assertThat(peers.coalescingRelays()).isEqualTo(before);
         assertThat(store.waiting()).as("own entry").hasSize(1);
     }
 }
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/QuarantineFeedTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/QuarantineFeedTest.java
@@ -30,9 +30,9 @@
     private final AtomicLong now = new AtomicLong(1_000_000);
     private final ManualStore store = new ManualStore();
     private final CrashWatch crashes = new CrashWatch(now::get, new HttpClient(group.next()));
-    private int turn;
+    private int rank;
     private final QuarantineFeed feed =
-            new QuarantineFeed(crashes, store, name -> turn, now::get, () -> {});
+            new QuarantineFeed(crashes, store, name -> rank, now::get, () -> {});
 
     @AfterEach
     void close() {
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void theVmInTurnWritesARequestOnce() {
+    void firstRankWritesFingerprintOnce() {
         crashes.quarantine(CONTENT, "test");
         feed.writeDue();
         feed.writeDue();
@@ -55,8 +55,8 @@
     }
 
     @Test
-    void aVmThatHearsOfTheWriteInTimeMakesNone() {
-        turn = 2;
+    void laterRankDoesNotWriteIfAnotherVmDid() {
+        rank = 2;
         crashes.quarantine(CONTENT, "test");
         feed.writeDue();
         feed.onChange(stored(Optional.of(CONTENT)));
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void aWriteThatFailsIsMadeAgainAfterAPause() {
+    void failedWriteIsRetriedAfterPause() {
         crashes.quarantine(CONTENT, "test");
         feed.writeDue();
         store.answer(new StoreAnswer.Unavailable<>(true, "no answer"));
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void whatTheStoreListsIsRefusedAndWhatItLostIsWrittenAgain() {
+    void listedFingerprintIsQuarantinedAndRewrittenIfLost() {
         feed.onAll(List.of(stored(Optional.of(CONTENT))));
         assertThat(crashes.quarantine().left(CONTENT)).isPresent();
         feed.onAll(List.of());
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void aRequestWhoseTimeIsOverIsDeletedAndNotTakenUpAgain() {
+    void expiredFingerprintIsDeletedAndNotQuarantinedAgain() {
         feed.onAll(List.of(stored(Optional.of(CONTENT))));
         now.addAndGet(Quarantine.LIFETIME.toMillis() + 1);
         feed.writeDue();
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void anObjectThatAnOperatorDeletesReleasesItsRequest() {
+    void deletedObjectReleasesItsFingerprint() {
         feed.onAll(List.of(stored(Optional.of(CONTENT))));
         feed.onChange(stored(Optional.empty()));
         assertThat(crashes.quarantine().left(CONTENT)).isEmpty();
@@ -110,16 +110,16 @@
     }
 
     @Test
-    void aNameThatIsNoRequestsReleasesNone() {
+    void invalidNameReleasesNothing() {
         feed.onAll(List.of(stored(Optional.of(CONTENT))));
         feed.onChange(
                 new StoredValue<>("other", Position.of(0, 6), Optional.empty(), Optional.empty()));
         assertThat(crashes.quarantine().left(CONTENT)).isPresent();
     }
 
-    /** Guards against a request that was answered and that the store has refused again. */
+    /** Guards against a store entry that quarantines a released request again. */
     @Test
-    void aRequestThatWasAnsweredIsDeletedFromTheStoreAndNotTakenUpAgain() {
+    void clearedFingerprintIsDeletedAndNotQuarantinedAgain() {
         feed.onAll(List.of(stored(Optional.of(CONTENT))));
         final Incarnation server = Incarnation.of(BackendServerId.of("i-1"));
         crashes.onAcquittal(new Acquittal(CONTENT, Set.of(server)));
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/ModelStore.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/RestorableStore.java
@@ -21,14 +21,14 @@
 import org.fennelstage.store.StoredValue;
 
 /**
- * A store in memory that comes back from older copies of itself and answers when a test says so.
+ * An in-memory store that can be restored from older copies and responds when a test says so.
  *
- * <p>An answer may be made up before a return and arrive after it. Confined to the thread of its
- * test.
+ * <p>A response may be created before a restore and delivered after it. Not thread-safe; confined
+ * to the thread of its test.
  */
-final class ModelStore extends ManualStore {
+final class RestorableStore extends ManualStore {
 
-    /** Makes an object as it is read in an era. */
+    /** Creates an object as read at a position. */
     @FunctionalInterface
     interface Content {
         Object at(Position position);
@@ -38,12 +38,12 @@
 
     private record Copy(Map<String, Stored> objects, long revision) {}
 
-    /** A call that waits; the answer may be made up already. */
+    /** A pending call; its response may exist already. */
     private final class Call {
         private final StoreKind<?> kind;
         private final Optional<Position> since;
         private final Consumer<StoreAnswer<?>> answer;
-        private Optional<StoreAnswer<?>> madeUp = Optional.empty();
+        private Optional<StoreAnswer<?>> prepared = Optional.empty();
 
         private Call(
                 final StoreKind<?> kind,
@@ -54,8 +54,8 @@
             this.answer = answer;
         }
 
-        private boolean mayBeAnswered() {
-            return madeUp.isPresent()
+        private boolean canRespond() {
+            return prepared.isPresent()
                     || since.isEmpty()
                     || since.get().revision() > revision
                     || !changes().isEmpty();
@@ -67,7 +67,7 @@
                     .toList();
         }
 
-        private StoreAnswer<?> makeUp() {
+        private StoreAnswer<?> createResponse() {
             if (since.isEmpty()) {
                 return page(objects.values().stream().filter(s -> s.kind().equals(kind)).toList());
             }
@@ -85,7 +85,7 @@
     private long era = 1;
     private long revision = 1;
 
-    /** Writes an object; absent content deletes it. */
+    /** Writes an object; empty content deletes it. */
     void put(final StoreKind<?> kind, final String name, final Optional<Content> content) {
         final String key = kind + "/" + name;
         revision++;
@@ -114,16 +114,16 @@
                 .map(s -> (RolloutOrder) s.content().at(Position.of(era, s.revision())));
     }
 
-    /** Copies all objects as they are. */
+    /** Replaces the copy by the current objects. */
     void copy() {
         copy = new Copy(Map.copyOf(objects), revision);
     }
 
-    /** Comes back from the last copy. Some answers are under way. */
-    void comeBack(final Random random) {
+    /** Restores the copy, while some responses to earlier calls are still in transit. */
+    void restoreCopy(final Random random) {
         for (final Call call : calls) {
-            if (call.mayBeAnswered() && random.nextBoolean()) {
-                call.madeUp = Optional.of(call.makeUp());
+            if (call.canRespond() && random.nextBoolean()) {
+                call.prepared = Optional.of(call.createResponse());
             }
         }
         era++;
@@ -134,7 +134,7 @@
     }
 
     /**
-     * Answers one call or does one write, drawn among those that can be.
+     * Responds to one call or performs one write, drawn from those that are possible.
      *
      * @return false if there was none
      */
@@ -143,17 +143,17 @@
             writes.remove(0).run();
             return true;
         }
-        final List<Call> ready = calls.stream().filter(Call::mayBeAnswered).toList();
+        final List<Call> ready = calls.stream().filter(Call::canRespond).toList();
         if (ready.isEmpty()) {
-            final boolean wrote = !writes.isEmpty();
-            if (wrote) {
+            final boolean hasWrite = !writes.isEmpty();
+            if (hasWrite) {
                 writes.remove(0).run();
             }
-            return wrote;
+            return hasWrite;
         }
         final Call call = ready.get(random.nextInt(ready.size()));
         calls.remove(call);
-        call.answer.accept(call.madeUp.orElseGet(call::makeUp));
+        call.answer.accept(call.prepared.orElseGet(call::createResponse));
         return true;
     }
 
@@ -198,7 +198,7 @@
         writes.add(() -> answer.accept(write(order, phase, begunAt)));
     }
 
-    /** Compares the revision alone, as the real store does. */
+    /** Compares only the revision, as the real store does. */
     private StoreAnswer<Void> write(
             final RolloutOrder order, final RolloutPhase phase, final Instant begunAt) {
         final String service = order.service().value();
@@ -206,15 +206,18 @@
         if (stored == null || stored.revision() != order.position().revision()) {
             return new StoreAnswer.Conflict<>();
         }
-        final RolloutOrder now = order(service).orElseThrow();
-        // A status of another target is no status of this order.
-        if (now.target().equals(order.target())) {
-            put(StoreKind.ROLLOUTS, service, Optional.of(order(now, phase, Optional.of(begunAt))));
+        final RolloutOrder current = order(service).orElseThrow();
+        // A phase of another target does not apply to this order.
+        if (current.target().equals(order.target())) {
+            put(
+                    StoreKind.ROLLOUTS,
+                    service,
+                    Optional.of(order(current, phase, Optional.of(begunAt))));
         } else {
             put(
                     StoreKind.ROLLOUTS,
                     service,
-                    Optional.of(order(now, RolloutPhase.ORDERED, Optional.empty())));
+                    Optional.of(order(current, RolloutPhase.ORDERED, Optional.empty())));
         }
         return new StoreAnswer.Done<>(null);
     }
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/RolloutAgesTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/RolloutAgesTest.java
@@ -24,16 +24,16 @@
     private static final ServiceName MODELS = ServiceName.of("models");
 
     private final AtomicLong now = new AtomicLong(1_000_000);
-    private final List<PeerMessage> told = new ArrayList<>();
-    private List<InetSocketAddress> others = List.of();
+    private final List<PeerMessage> sent = new ArrayList<>();
+    private List<InetSocketAddress> peers = List.of();
 
     private final class Vm {
         private final Beliefs beliefs = new Beliefs(now::get, TestBounds.BOUNDS);
         private final RolloutAges ages =
                 new RolloutAges(
-                        beliefs, () -> others, (message, to) -> told.add(message), new Random(7));
+                        beliefs, () -> peers, (message, to) -> sent.add(message), new Random(7));
 
-        private Vm hears(final Optional<Instant> begunAt, final long elapsedMillis) {
+        private Vm withOrder(final Optional<Instant> begunAt, final long elapsedMillis) {
             final RolloutOrder order =
                     new RolloutOrder(
                             MODELS,
@@ -48,42 +48,42 @@
     }
 
     @Test
-    void aVmThatHeardTheOrderTellsItsAgeTwiceASecondAndOneThatStartedLaterTakesIt() {
-        final Vm first = new Vm().hears(Optional.empty(), 0);
+    void sendsAgeTwiceASecondAndAppliesReceivedAge() {
+        final Vm first = new Vm().withOrder(Optional.empty(), 0);
         now.addAndGet(499);
         first.ages.sendDue();
-        assertThat(told).isEmpty();
+        assertThat(sent).isEmpty();
         now.addAndGet(3_501);
         first.ages.sendDue();
         first.ages.sendDue();
-        assertThat(told).hasSize(1);
-        final Vm started = new Vm().hears(Optional.of(Instant.EPOCH), 9_000);
-        started.ages.onAge(((PeerMessage.Rollout) told.get(0)).age());
+        assertThat(sent).hasSize(1);
+        final Vm started = new Vm().withOrder(Optional.of(Instant.EPOCH), 9_000);
+        started.ages.onAge(((PeerMessage.Rollout) sent.get(0)).age());
         assertThat(started.beliefs.canary(MODELS).elapsed()).hasMillis(4_000);
     }
 
     @Test
-    void aVmThatHasTheAgeFromATimeOfDayTellsNothing() {
-        final Vm started = new Vm().hears(Optional.of(Instant.EPOCH), 9_000);
+    void ageFromWallClockIsNotSent() {
+        final Vm started = new Vm().withOrder(Optional.of(Instant.EPOCH), 9_000);
         now.addAndGet(1_000);
         started.ages.sendDue();
-        assertThat(told).isEmpty();
+        assertThat(sent).isEmpty();
     }
 
     @Test
-    void theAgeOfARolloutOfAnUnknownServiceIsPassedOver() {
+    void ageForUnknownServiceIsIgnored() {
         final Vm vm = new Vm();
         vm.ages.onAge(new RolloutAge(MODELS, "v2", Position.of(0, 5), 100));
         assertThat(vm.beliefs.canaries()).isEmpty();
     }
 
-    /** Guards against words that grow with the square of the fleet and take more than requests. */
+    /** Guards against messages that grow with the square of the fleet. */
     @Test
-    void vmsOfALargeDataCentreTakeTurnsToTellTheAge() {
-        others = Collections.nCopies(29, new InetSocketAddress("10.0.0.1", 7_000));
+    void numberOfMessagesIsLimitedInLargeDataCentre() {
+        peers = Collections.nCopies(29, new InetSocketAddress("10.0.0.1", 7_000));
         final List<Vm> vms = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
-            vms.add(new Vm().hears(Optional.empty(), 0));
+            vms.add(new Vm().withOrder(Optional.empty(), 0));
         }
         int seconds = 0;
         while (seconds < 20) {
@@ -93,6 +93,6 @@
             }
             seconds++;
         }
-        assertThat(told.size()).isBetween(20 * seconds / 4, 20 * seconds);
+        assertThat(sent.size()).isBetween(20 * seconds / 4, 20 * seconds);
     }
 }
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/RolloutFeedTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/RolloutFeedTest.java
@@ -27,9 +27,9 @@
     private final Beliefs beliefs = new Beliefs(now::get, TestBounds.BOUNDS);
     private final ManualStore store = new ManualStore();
 
-    private RolloutFeed feedWithTurn(final int turn) {
+    private RolloutFeed feedWithRank(final int rank) {
         return new RolloutFeed(
-                beliefs, store, InstantSource.fixed(Instant.EPOCH), target -> turn, () -> {});
+                beliefs, store, InstantSource.fixed(Instant.EPOCH), target -> rank, () -> {});
     }
 
     private static List<StoredValue<RolloutOrder>> order(
@@ -47,13 +47,10 @@
                         "models", Position.of(0, revision), Optional.of(order), Optional.empty()));
     }
 
-    /**
-     * Symptom: each step of a roll-out is as many calls to the store as there are VMs. Events: all
-     * hear of the order at the same moment. Cause: each wrote at once.
-     */
+    /** Guards against a write by every VM for each phase of a rollout. */
     @Test
-    void aVmWhoseTurnIsLaterWritesOnlyIfNobodyDidBefore() {
-        final RolloutFeed feed = feedWithTurn(2);
+    void laterRankWritesOnlyIfNoOtherVmDid() {
+        final RolloutFeed feed = feedWithRank(2);
         feed.onAll(order(RolloutPhase.ORDERED, 5));
         feed.writeDue();
         now.addAndGet(199);
@@ -71,12 +68,12 @@
     }
 
     @Test
-    void theFirstInTurnWritesAtOnceAndNobodyWaitsForMoreThanFour() {
-        final RolloutFeed first = feedWithTurn(0);
+    void firstRankWritesAtOnceAndDelayIsLimited() {
+        final RolloutFeed first = feedWithRank(0);
         first.onAll(order(RolloutPhase.ORDERED, 5));
         first.writeDue();
         assertThat(store.waiting()).hasSize(1);
-        final RolloutFeed last = feedWithTurn(300);
+        final RolloutFeed last = feedWithRank(300);
         last.writeDue();
         now.addAndGet(400);
         last.writeDue();
@@ -84,8 +81,8 @@
     }
 
     @Test
-    void aHaltIsWrittenOutOfTurn() {
-        final RolloutFeed feed = feedWithTurn(300);
+    void haltIsWrittenWithoutDelay() {
+        final RolloutFeed feed = feedWithRank(300);
         feed.onAll(order(RolloutPhase.IN_PROGRESS, 5));
         for (int i = 0; i < 10; i++) {
             beliefs.canary(MODELS).onAnswer(BackendServerId.of("i-" + i), "v2", true, 0);
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/ServerFeedTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/ServerFeedTest.java
@@ -45,18 +45,11 @@
     }
 
     /**
-     * Symptom: a backend server that left gets requests 3.3 s after it said so, where 3 s are
-     * allowed, from one VM of 79.
-     *
-     * <p>Events: a VM asks the store through another VM of its data centre; that one is cut off,
-     * and so is the next; the store itself is well all the time and its list is read 1 s after the
-     * first call failed. In it the entry of a backend server is missing that left meanwhile.
-     *
-     * <p>Cause: any call that failed counted as the store's absence, and entries that vanish around
-     * one are kept 2.2 s longer, since their servers may have been unable to renew them.
+     * Guards against keeping the entry of a drained server after a failure of a relay, when the
+     * store itself was available.
      */
     @Test
-    void anEntryThatIsGoneAfterOnlyTheWayToTheStoreWasLostIsDroppedAtOnce() {
+    void missingEntryIsRemovedAtOnceIfOnlyStoreCallFailed() {
         feed.onAll(List.of(entry("i-1"), entry("i-2")));
         feed.onLost();
         now.addAndGet(1_100);
@@ -65,12 +58,9 @@
         assertThat(usable()).containsExactly("i-2");
     }
 
-    /**
-     * Symptom: after an outage of the store no worker is left. Events: entries lapse while workers
-     * cannot renew them; a watch fails first, and the lists after it.
-     */
+    /** Guards against losing all servers whose entries expired during an outage of the store. */
     @Test
-    void anEntryThatIsGoneAfterTheStoreWasAwayIsKeptCountedFromTheFirstCallThatFailed() {
+    void missingEntryIsKeptAfterOutageCountedFromFirstFailedCall() {
         feed.onAll(List.of(entry("i-1"), entry("i-2")));
         feed.onLost();
         now.addAndGet(800);
@@ -80,7 +70,7 @@
         feed.onAll(List.of(entry("i-2")));
         assertThat(usable()).containsExactly("i-1", "i-2");
         now.addAndGet(2_200);
-        feed.dropLapsed();
+        feed.removeExpired();
         assertThat(usable()).containsExactly("i-2");
     }
 }
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/SettingsWatchTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/SettingsWatchTest.java
@@ -15,18 +15,18 @@
     @TempDir private Path folder;
 
     @Test
-    void eachChangeIsNoticedOnceAndAFileThatIsMissingForAMomentIsNone() throws IOException {
+    void reportsEachChangeOnceAndIgnoresMissingFile() throws IOException {
         final Path file = Files.writeString(folder.resolve("settings.json"), "{}");
         final AtomicInteger changes = new AtomicInteger();
         final SettingsWatch watch = SettingsWatch.start(file, changes::incrementAndGet);
-        watch.look();
+        watch.check();
         assertThat(changes).hasValue(0);
         Files.setLastModifiedTime(file, FileTime.fromMillis(1_000));
-        watch.look();
-        watch.look();
+        watch.check();
+        watch.check();
         assertThat(changes).hasValue(1);
         Files.delete(file);
-        watch.look();
+        watch.check();
         assertThat(changes).hasValue(1);
     }
 }
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/StartingFleetTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/StartingFleetTest.java
@@ -23,13 +23,13 @@
 import org.fennelstage.store.WatchPace;
 import org.junit.jupiter.api.Test;
 
-/** What a VM that starts among workers that start costs the store, in simulated time. */
+/** Counts the store calls of a VM that starts while backend servers register, in simulated time. */
 class StartingFleetTest {
 
     private static final long STEP_MILLIS = 10;
     private static final long STARTING_MILLIS = 3_000;
 
-    /** A worker registers every 80 ms, as 63 did in five seconds. */
+    /** Time between two registrations; milliseconds. */
     private static final long REGISTRATION_MILLIS = 80;
 
     private final EmbeddedChannel channel = new EmbeddedChannel();
@@ -112,21 +112,14 @@
         public void onChange(final StoredValue<ServerEntry> value) {}
     }
 
-    /**
-     * Symptom: the start of a fleet of 64 VMs is a third of a day's calls to the store. Events: all
-     * VMs ask by themselves for three seconds, while workers register one after the other. Cause:
-     * each registration ended a watch of every VM, four times a second at most.
-     *
-     * <p>Calls of one VM in these seconds: 11 with the usual pace of 250 ms, 4 with that of a
-     * start.
-     */
+    /** Guards against a call by every VM for nearly each registration while a fleet starts. */
     @Test
-    void aVmThatStartsWatchesWorkersLessOften() {
+    void startingPaceLimitsCalls() {
         assertThat(callsWhileStarting(StoreWatches.STARTING_SERVER_PACE)).isLessThanOrEqualTo(5);
     }
 
     @Test
-    void withTheUsualPaceItMakesMoreThanTwiceAsMany() {
+    void usualPaceCausesMoreThanTwiceAsManyCalls() {
         assertThat(callsWhileStarting(StoreWatches.SERVER_PACE)).isGreaterThan(12);
     }
 }
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/StoreReturnTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/StoreRestoreTest.java
@@ -45,55 +45,55 @@
 import org.fennelstage.store.WatchPace;
 
 /**
- * Random histories of a store that comes back from copies, against one VM that follows it.
+ * Random histories of a store that is restored from older copies, checked against one VM that
+ * follows it.
  *
- * <p>Workers come, leave and go, configurations and roll-outs are written, versions are found bad;
- * the store goes back, once or twice in a row, and operator and workers write again in any order
- * within two seconds. At no moment does the VM hold what no history allows, and in the end it
- * agrees with the store.
+ * <p>Backend servers, configurations and rollouts change, versions are halted, and the store is
+ * restored, after which the operator and the servers write again in any order. The VM must never
+ * hold a state that contradicts the history, and must agree with the store in the end.
  */
-class StoreReturnTest {
+class StoreRestoreTest {
 
     private static final int STEPS = 80;
     private static final long STEP_MILLIS = 200;
     private static final ServiceName SERVICE = ServiceName.of("models");
     private static final Duration DURATION = Duration.ofSeconds(5);
 
-    /** Longer than every wait after a return, and than a roll-out. */
+    /** Longer than every delay after a restore, and than a rollout. */
     private static final int SETTLING_STEPS = 80;
 
-    /** The VM, the store, and what truly happened. */
-    private static final class World {
+    /** The VM, the store, and the actual state of the fleet. */
+    private static final class Simulation {
         private final Random random;
         private final AtomicLong now = new AtomicLong(1_000_000);
         private final EmbeddedChannel channel = new EmbeddedChannel();
         private final Beliefs beliefs = new Beliefs(now::get, TestBounds.BOUNDS);
-        private final ModelStore store = new ModelStore();
+        private final RestorableStore store = new RestorableStore();
         private final ServerFeed servers = new ServerFeed(beliefs, () -> {});
         private final RolloutFeed rollouts =
                 new RolloutFeed(
                         beliefs, store, InstantSource.fixed(Instant.EPOCH), t -> 0, () -> {});
 
-        /** What workers, by id, and the operator say last; written again after a return. */
-        private final Map<String, ServerEntry> workers = new HashMap<>();
+        /** The latest entries by id; they are written again after a restore. */
+        private final Map<String, ServerEntry> entriesById = new HashMap<>();
 
         private long configuration = 1;
-        private Optional<String> ordered = Optional.empty();
+        private Optional<String> orderedVersion = Optional.empty();
 
-        private final Deque<Runnable> toWriteAgain = new ArrayDeque<>();
-        private final Set<String> inUse = new HashSet<>(Set.of("v1"));
+        private final Deque<Runnable> pendingRewrites = new ArrayDeque<>();
+        private final Set<String> versionsInUse = new HashSet<>(Set.of("v1"));
         private String versionInUse = "v1";
         private final Set<String> halted = new HashSet<>();
-        private final Set<String> heardLeaving = new HashSet<>();
-        private long heardConfiguration;
-        private int names;
+        private final Set<String> seenDraining = new HashSet<>();
+        private long lastConfiguration;
+        private int lastNumber;
 
-        private World(final long seed) {
+        private Simulation(final long seed) {
             random = new Random(seed);
             channel.freezeTime();
             writeConfiguration();
-            enter("v1");
-            enter("v1");
+            register("v1");
+            register("v1");
             follow();
         }
 
@@ -124,7 +124,7 @@
             store.put(
                     StoreKind.CONFIGURATION,
                     "main",
-                    Optional.of(ModelStore.configuration(configuration(configuration))));
+                    Optional.of(RestorableStore.configuration(configuration(configuration))));
         }
 
         private static ServingConfiguration configuration(final long version) {
@@ -132,14 +132,14 @@
                     version, List.of(), List.of(), CallerLimits.UNTIL_CONFIGURED, Map.of(), false);
         }
 
-        private void enter(final String version) {
-            final String id = "i-" + ++names;
-            workers.put(id, entry(id, version, false));
-            writeWorker(id);
+        private void register(final String version) {
+            final String id = "i-" + ++lastNumber;
+            entriesById.put(id, entry(id, version, false));
+            writeEntry(id);
         }
 
         private static ServerEntry entry(
-                final String id, final String version, final boolean leaving) {
+                final String id, final String version, final boolean draining) {
             return new ServerEntry(
                     Incarnation.of(BackendServerId.of(id)),
                     SERVICE,
@@ -147,18 +147,18 @@
                     DataCentreId.of("dc-a"),
                     version,
                     4,
-                    leaving,
+                    draining,
                     Position.of(0, 0));
         }
 
-        private void writeWorker(final String id) {
-            final ServerEntry entry = workers.get(id);
+        private void writeEntry(final String id) {
+            final ServerEntry entry = entriesById.get(id);
             if (entry == null) {
                 if (store.has(StoreKind.SERVERS, id)) {
                     store.put(StoreKind.SERVERS, id, Optional.empty());
                 }
             } else {
-                store.put(StoreKind.SERVERS, id, Optional.of(ModelStore.server(entry)));
+                store.put(StoreKind.SERVERS, id, Optional.of(RestorableStore.server(entry)));
             }
         }
 
@@ -166,7 +166,7 @@
             final RolloutOrder order =
                     new RolloutOrder(
                             SERVICE,
-                            ordered.orElseThrow(),
+                            orderedVersion.orElseThrow(),
                             DURATION,
                             RolloutPhase.ORDERED,
                             Optional.empty(),
@@ -174,95 +174,97 @@
             store.put(
                     StoreKind.ROLLOUTS,
                     "models",
-                    Optional.of(ModelStore.order(order, RolloutPhase.ORDERED, Optional.empty())));
+                    Optional.of(
+                            RestorableStore.order(order, RolloutPhase.ORDERED, Optional.empty())));
         }
 
         private void act() {
             switch (random.nextInt(10)) {
-                case 0, 1 -> enter(versionInUse);
-                case 2 -> leave();
-                case 3 -> go();
+                case 0, 1 -> register(versionInUse);
+                case 2 -> startDraining();
+                case 3 -> deregister();
                 case 4 -> {
                     configuration++;
                     writeConfiguration();
                 }
                 case 5 -> giveOrder();
                 case 6 -> store.copy();
-                case 7 -> comeBack();
+                case 7 -> restoreStore();
                 case 8 -> halt();
                 default -> {}
             }
         }
 
-        private Optional<String> drawWorker() {
-            final List<String> ids = new ArrayList<>(new TreeSet<>(workers.keySet()));
+        private Optional<String> drawServer() {
+            final List<String> ids = new ArrayList<>(new TreeSet<>(entriesById.keySet()));
             return ids.size() < 3
                     ? Optional.empty()
                     : Optional.of(ids.get(random.nextInt(ids.size())));
         }
 
-        private void leave() {
-            drawWorker()
+        private void startDraining() {
+            drawServer()
                     .ifPresent(
                             id -> {
-                                workers.put(id, entry(id, workers.get(id).version(), true));
-                                writeWorker(id);
+                                entriesById.put(id, entry(id, entriesById.get(id).version(), true));
+                                writeEntry(id);
                             });
         }
 
-        private void go() {
-            drawWorker()
-                    .filter(id -> workers.get(id).leaving())
+        private void deregister() {
+            drawServer()
+                    .filter(id -> entriesById.get(id).leaving())
                     .ifPresent(
                             id -> {
-                                workers.remove(id);
-                                writeWorker(id);
+                                entriesById.remove(id);
+                                writeEntry(id);
                             });
         }
 
         private void giveOrder() {
-            final boolean runs =
-                    ordered.isPresent()
-                            && !inUse.contains(ordered.get())
-                            && !halted.contains(ordered.get());
-            if (runs || !toWriteAgain.isEmpty()) {
+            final boolean running =
+                    orderedVersion.isPresent()
+                            && !versionsInUse.contains(orderedVersion.get())
+                            && !halted.contains(orderedVersion.get());
+            if (running || !pendingRewrites.isEmpty()) {
                 return;
             }
-            ordered = Optional.of("v" + ++names);
+            orderedVersion = Optional.of("v" + ++lastNumber);
             writeOrder();
-            enter(ordered.get());
-            enter(ordered.get());
+            register(orderedVersion.get());
+            register(orderedVersion.get());
         }
 
         private void halt() {
             final Canary canary = beliefs.canary(SERVICE);
-            if (ordered.isPresent()
-                    && !inUse.contains(ordered.get())
-                    && canary.admits(ordered.get(), true)) {
+            if (orderedVersion.isPresent()
+                    && !versionsInUse.contains(orderedVersion.get())
+                    && canary.admits(orderedVersion.get(), true)) {
                 for (int i = 0; i < 10; i++) {
-                    canary.onAnswer(BackendServerId.of("i-" + i), ordered.get(), true, 0);
+                    canary.onAnswer(BackendServerId.of("i-" + i), orderedVersion.get(), true, 0);
                 }
-                halted.add(ordered.get());
+                halted.add(orderedVersion.get());
             }
         }
 
-        /** The store goes back; what was written since is written again, in any order. */
-        private void comeBack() {
-            store.comeBack(random);
-            final List<Runnable> again = new ArrayList<>();
-            again.add(this::writeConfiguration);
-            ordered.ifPresent(o -> again.add(this::writeOrderAgain));
-            final Set<String> ids = new TreeSet<>(workers.keySet());
+        /** Restores the store; later writes are repeated in a random order. */
+        private void restoreStore() {
+            store.restoreCopy(random);
+            final List<Runnable> rewrites = new ArrayList<>();
+            rewrites.add(this::writeConfiguration);
+            orderedVersion.ifPresent(o -> rewrites.add(this::rewriteOrder));
+            final Set<String> ids = new TreeSet<>(entriesById.keySet());
             ids.addAll(store.names(StoreKind.SERVERS));
-            ids.forEach(id -> again.add(() -> writeWorker(id)));
-            Collections.shuffle(again, random);
-            toWriteAgain.clear();
-            toWriteAgain.addAll(again);
+            ids.forEach(id -> rewrites.add(() -> writeEntry(id)));
+            Collections.shuffle(rewrites, random);
+            pendingRewrites.clear();
+            pendingRewrites.addAll(rewrites);
         }
 
-        private void writeOrderAgain() {
-            final boolean there = store.order("models").map(RolloutOrder::target).equals(ordered);
-            if (!there) {
+        private void rewriteOrder() {
+            final boolean present =
+                    store.order("models").map(RolloutOrder::target).equals(orderedVersion);
+            if (!present) {
                 writeOrder();
             }
         }
@@ -273,9 +275,9 @@
         }
 
         private void passTime() {
-            final int rewrites = 1 + toWriteAgain.size() / 4;
-            for (int i = 0; i < rewrites && !toWriteAgain.isEmpty(); i++) {
-                toWriteAgain.poll().run();
+            final int count = 1 + pendingRewrites.size() / 4;
+            for (int i = 0; i < count && !pendingRewrites.isEmpty(); i++) {
+                pendingRewrites.poll().run();
             }
             while (store.deliver(random)) {
                 check();
@@ -283,36 +285,42 @@
             now.addAndGet(STEP_MILLIS);
             channel.advanceTimeBy(STEP_MILLIS, TimeUnit.MILLISECONDS);
             channel.runScheduledPendingTasks();
-            servers.dropLapsed();
+            servers.removeExpired();
             beliefs.settle();
             rollouts.writeDue();
             while (store.deliver(random)) {
                 check();
             }
-            noteEnd();
+            onRolloutEnd();
             check();
         }
 
-        /** Whoever completes a roll-out stops the old version's workers; a halt ends the new. */
-        private void noteEnd() {
+        /**
+         * Stops the old version's servers when a rollout completes, and the new version's when it
+         * is halted.
+         */
+        private void onRolloutEnd() {
             store.order("models")
-                    .filter(o -> o.phase().ended() && ordered.equals(Optional.of(o.target())))
+                    .filter(
+                            o ->
+                                    o.phase().ended()
+                                            && orderedVersion.equals(Optional.of(o.target())))
                     .ifPresent(
                             o -> {
                                 final boolean completed = o.phase() == RolloutPhase.COMPLETED;
                                 if (completed) {
                                     versionInUse = o.target();
                                 }
-                                stopWorkers(o.target(), completed);
+                                stopServers(o.target(), completed);
                             });
         }
 
-        private void stopWorkers(final String target, final boolean completed) {
-            for (final String id : List.copyOf(workers.keySet())) {
-                final boolean ofTarget = workers.get(id).version().equals(target);
+        private void stopServers(final String target, final boolean completed) {
+            for (final String id : List.copyOf(entriesById.keySet())) {
+                final boolean ofTarget = entriesById.get(id).version().equals(target);
                 if (ofTarget != completed) {
-                    workers.remove(id);
-                    writeWorker(id);
+                    entriesById.remove(id);
+                    writeEntry(id);
                 }
             }
         }
@@ -320,20 +328,20 @@
         private void check() {
             store.order("models")
                     .filter(o -> o.phase() == RolloutPhase.COMPLETED)
-                    .ifPresent(o -> inUse.add(o.target()));
+                    .ifPresent(o -> versionsInUse.add(o.target()));
             final long version = beliefs.configuration().map(c -> c.version()).orElse(0L);
-            assertThat(version).isGreaterThanOrEqualTo(heardConfiguration);
-            heardConfiguration = version;
+            assertThat(version).isGreaterThanOrEqualTo(lastConfiguration);
+            lastConfiguration = version;
             for (final TrackedServer server : beliefs.servers().all()) {
                 if (server.entry().leaving()) {
-                    heardLeaving.add(server.entry().id().value());
+                    seenDraining.add(server.entry().id().value());
                 }
             }
-            assertThat(usable()).as("left workers").noneMatch(heardLeaving::contains);
+            assertThat(usable()).as("drained servers").noneMatch(seenDraining::contains);
             final Canary canary = beliefs.canary(SERVICE);
-            for (int i = 1; i <= names; i++) {
+            for (int i = 1; i <= lastNumber; i++) {
                 final String candidate = "v" + i;
-                if (!inUse.contains(candidate)) {
+                if (!versionsInUse.contains(candidate)) {
                     assertThat(canary.admits(candidate, false)).as(candidate).isFalse();
                 }
                 if (halted.contains(candidate)) {
@@ -350,15 +358,15 @@
 
         private void checkAgreement() {
             assertThat(beliefs.configuration().orElseThrow().version()).isEqualTo(configuration);
-            final Set<String> ready = new TreeSet<>();
-            workers.forEach(
+            final Set<String> expected = new TreeSet<>();
+            entriesById.forEach(
                     (id, entry) -> {
                         if (!entry.leaving()) {
-                            ready.add(id);
+                            expected.add(id);
                         }
                     });
-            assertThat(usable()).isEqualTo(ready);
-            ordered.ifPresent(
+            assertThat(usable()).isEqualTo(expected);
+            orderedVersion.ifPresent(
                     target -> {
                         final RolloutOrder order = store.order("models").orElseThrow();
                         assertThat(order.target()).isEqualTo(target);
@@ -372,14 +380,14 @@
     }
 
     @Property(tries = 300, shrinking = ShrinkingMode.OFF, seed = "20261203")
-    void aVmNeverHoldsWhatNoHistoryAllowsAndAgreesWithTheStoreInTheEnd(@ForAll final long seed) {
-        final World world = new World(seed);
+    void vmNeverContradictsHistoryAndFinallyAgreesWithStore(@ForAll final long seed) {
+        final Simulation simulation = new Simulation(seed);
         for (int i = 0; i < STEPS; i++) {
-            world.step();
+            simulation.step();
         }
         for (int i = 0; i < SETTLING_STEPS; i++) {
-            world.passTime();
+            simulation.passTime();
         }
-        world.checkAgreement();
+        simulation.checkAgreement();
     }
 }
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/TestBounds.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/TestBounds.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import org.fennelstage.gateway.GatewaySettings;
 
-/** Bounds of a deployment as tests of this package use them. */
+/** Deployment bounds for the tests of this package. */
 final class TestBounds {
 
     static final GatewaySettings BOUNDS =
