--- /dev/null
+++ b/fennelstage-core/src/test/java/org/fennelstage/crash/SuspectedCrashesTest.java
@@ -0,0 +1,34 @@
+package org.fennelstage.crash;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import org.fennelstage.fleet.Incarnation;
+import org.fennelstage.id.BackendServerId;
+import org.junit.jupiter.api.Test;
+
+class SuspectedCrashesTest {
+
+    private static final Incarnation FIRST = Incarnation.of(BackendServerId.of("i-1"));
+    private static final Incarnation SECOND = Incarnation.of(BackendServerId.of("i-2"));
+    private static final Fingerprint CONTENT = new Fingerprint(7);
+
+    private final SuspectedCrashes suspected = SuspectedCrashes.empty();
+
+    @Test
+    void onlyTheFirstBrokenConnectionOfAServerAsksForAProbe() {
+        assertThat(suspected.add(FIRST, CONTENT)).isTrue();
+        assertThat(suspected.add(FIRST, new Fingerprint(8))).isFalse();
+        assertThat(suspected.take(FIRST)).containsOnly(CONTENT, new Fingerprint(8));
+        assertThat(suspected.take(FIRST)).isEmpty();
+        assertThat(suspected.add(FIRST, CONTENT)).isTrue();
+    }
+
+    @Test
+    void aRequestCountsForEachServerWhoseCrashIsUndecided() {
+        suspected.add(FIRST, CONTENT);
+        suspected.add(SECOND, CONTENT);
+        assertThat(suspected.count(CONTENT)).isEqualTo(2);
+        suspected.take(FIRST);
+        assertThat(suspected.count(CONTENT)).isEqualTo(1);
+    }
+}
--- a/fennelstage-core/src/test/java/org/fennelstage/fleet/EvacuationsTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/fleet/EvacuationsTest.java
@@ -16,7 +16,7 @@
     private final Evacuations evacuations = Evacuations.empty(now::get);
 
     @Test
-    void aDataCentreIsEvacuatedFromTheOrderUntilItIsTakenBack() {
+    void dataCentreIsEvacuatedFromBeginToEnd() {
         assertThat(evacuations.begin(A)).isTrue();
         assertThat(evacuations.includes(A)).isTrue();
         assertThat(evacuations.includes(B)).isFalse();
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void anOrderThatIsKnownIsNoNews() {
+    void repeatedBeginOrEndReturnsFalse() {
         evacuations.begin(A);
         assertThat(evacuations.begin(A)).isFalse();
         evacuations.end(A);
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void aListEndsWhatItLacksAndBeginsWhatItHolds() {
+    void listReplacesTheEvacuations() {
         evacuations.begin(A);
         assertThat(evacuations.replaceAll(Set.of(B))).containsExactly(A);
         assertThat(evacuations.includes(A)).isFalse();
@@ -41,12 +41,13 @@
     }
 
     /**
-     * Guards against requests to a data centre whose evacuation an older copy of the store lacks.
+     * Guards against requests to an evacuated data centre after a restore that lacks its
+     * evacuation.
      */
     @Test
-    void anEvacuationThatTheStoreLostStaysInForceUntilOperatorsHadTimeToWriteItAgain() {
+    void evacuationMissingAfterARestoreStaysInForceUntilSettled() {
         evacuations.begin(A);
-        evacuations.onStoreReplaced();
+        evacuations.onStoreRestored();
         assertThat(evacuations.replaceAll(Set.of())).isEmpty();
         assertThat(evacuations.includes(A)).isTrue();
         evacuations.begin(A);
@@ -55,27 +56,27 @@
     }
 
     @Test
-    void anEvacuationThatNobodyWritesAgainEndsWhenTheStoreIsTakenAtItsWord() {
+    void evacuationThatIsNotWrittenAgainEndsWhenSettled() {
         evacuations.begin(A);
-        evacuations.onStoreReplaced();
+        evacuations.onStoreRestored();
         evacuations.replaceAll(Set.of());
         assertThat(evacuations.settle()).containsExactly(A);
         assertThat(evacuations.includes(A)).isFalse();
     }
 
     @Test
-    void anEndThatIsWrittenAfterTheReturnCountsAtOnce() {
+    void endAfterARestoreIsAppliedAtOnce() {
         evacuations.begin(A);
-        evacuations.onStoreReplaced();
+        evacuations.onStoreRestored();
         assertThat(evacuations.end(A)).isTrue();
         assertThat(evacuations.includes(A)).isFalse();
     }
 
     @Test
-    void itsAgeIsTheTimeSinceTheStoreWasHeard() {
+    void ageIsTheTimeSinceTheStoreWasRead() {
         now.addAndGet(300);
         assertThat(evacuations.ageMillis()).isEqualTo(300);
-        evacuations.onHeard();
+        evacuations.onStoreRead();
         assertThat(evacuations.ageMillis()).isZero();
     }
 }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Gateway.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Gateway.java
@@ -209,17 +209,17 @@
      */
     void onLeaving(final TrackedServer server) {
         final Incarnation incarnation = server.entry().incarnation();
-        if (beliefs.servers().onLeaving(incarnation)) {
-            EventLog.write(Event.SERVER_LEAVES, "server", incarnation, "source", "own answer");
+        if (beliefs.servers().onDraining(incarnation)) {
+            EventLog.write(Event.SERVER_DRAINING, "server", incarnation, "source", "own answer");
             leavingListener.accept(incarnation);
         }
     }
 
     /** Notes that a worker wants nothing from this VM for a time. */
     void onTurnedAway(final TrackedServer server, final Duration time) {
-        server.onTurnedAway(time);
+        server.onRejected(time);
         EventLog.write(
-                Event.SERVER_TURNS_AWAY,
+                Event.SERVER_REJECTING,
                 "server",
                 server.entry().incarnation(),
                 "for_ms",
@@ -246,7 +246,7 @@
                 "server",
                 entry.id(),
                 "born_ms",
-                entry.incarnation().bornMillis(),
+                entry.incarnation().startMillis(),
                 "running",
                 former.running());
         client.closeIdle(Sockets.address(entry.address()));
@@ -281,7 +281,7 @@
             final Refusal refusal,
             final String detail) {
         EventLog.write(
-                Event.REQUEST_REFUSED,
+                Event.REQUEST_REJECTED,
                 "request",
                 requestId,
                 "reason",
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/RequestLog.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/RequestLog.java
@@ -71,7 +71,7 @@
                 "version",
                 server.entry().version(),
                 "chosen_by",
-                choice.ground(),
+                choice.reason(),
                 "meant_for_new",
                 choice.toNew(),
                 "entry_revision",
@@ -96,7 +96,7 @@
 
     void hopeless(final long waitMillis, final long remainingMillis) {
         EventLog.write(
-                Event.REQUEST_REFUSED,
+                Event.REQUEST_REJECTED,
                 "request",
                 request.id(),
                 "route",
@@ -113,7 +113,7 @@
 
     void noneEligible(final Eligibility.Reasons reasons) {
         EventLog.write(
-                Event.REQUEST_REFUSED,
+                Event.REQUEST_REJECTED,
                 "request",
                 request.id(),
                 "route",
@@ -125,14 +125,14 @@
                 "evacuated",
                 reasons.evacuated(),
                 "cold",
-                reasons.cold(),
+                reasons.warmingUp(),
                 "want_nothing",
-                reasons.wantNothing());
+                reasons.rejecting());
     }
 
     void quarantined(final Duration left) {
         EventLog.write(
-                Event.REQUEST_REFUSED,
+                Event.REQUEST_REJECTED,
                 "request",
                 request.id(),
                 "content",
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/CrashBroadcast.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/CrashBroadcast.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 import java.util.function.Supplier;
-import org.fennelstage.crash.Acquittal;
+import org.fennelstage.crash.ClearedCrashes;
 import org.fennelstage.crash.CrashReport;
 import org.fennelstage.crash.Fingerprint;
 import org.fennelstage.time.MonotonicClock;
@@ -66,8 +66,8 @@
     }
 
     /** Sends that the crashes of a request no longer count. */
-    void onAcquittal(final Acquittal acquittal) {
-        sendRepeatedly(new PeerMessage.CrashesCleared(acquittal));
+    void onClearedCrashes(final ClearedCrashes cleared) {
+        sendRepeatedly(new PeerMessage.CrashesCleared(cleared));
     }
 
     private void sendRepeatedly(final PeerMessage message) {
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/EvacuationFeed.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/EvacuationFeed.java
@@ -62,12 +62,12 @@
 
     @Override
     public void onPosition(final Position position) {
-        evacuations.onHeard();
+        evacuations.onStoreRead();
     }
 
     @Override
     public void onReplaced() {
-        evacuations.onStoreReplaced();
+        evacuations.onStoreRestored();
         awaitingRewrites = true;
         rewritesEndMillis = beliefs.clock().millis() + Beliefs.REWRITE_MILLIS;
     }
@@ -89,7 +89,7 @@
     }
 
     private static void logStarted(final DataCentreId dataCentre, final Object source) {
-        EventLog.write(Event.EVACUATION_BEGUN, "data_centre", dataCentre, "source", source);
+        EventLog.write(Event.EVACUATION_STARTED, "data_centre", dataCentre, "source", source);
     }
 
     /** Returns the data centre of a name, empty if the name is invalid. */
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/GatewayVm.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/GatewayVm.java
@@ -140,7 +140,7 @@
         this.crashBroadcast = new CrashBroadcast(peers::allPeers, messenger::send, clock);
         gateway.onLeaving(
                 server -> messenger.send(new PeerMessage.Draining(server), peers.allPeers()));
-        gateway.crashes().onFound(crashBroadcast::onReport, crashBroadcast::onAcquittal);
+        gateway.crashes().onFound(crashBroadcast::onReport, crashBroadcast::onClearedCrashes);
         this.rolloutAges = new RolloutAges(beliefs, peers::loadPeers, messenger::send, random);
         final LoadCollection collection =
                 new LoadCollection(settings.vm(), peers, loadBoard, messenger::send, clock);
@@ -323,7 +323,7 @@
     private void awaitDrained(final Drain drain, final Runnable whenStopped) {
         if (drain.mayExit(gateway.inFlight())) {
             EventLog.write(
-                    gateway.inFlight() == 0 ? Event.STOPPED : Event.DRAIN_CUT,
+                    gateway.inFlight() == 0 ? Event.STOPPED : Event.DRAIN_TIMED_OUT,
                     "vm",
                     settings.vm(),
                     "in_flight",
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/PeerMessage.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/PeerMessage.java
@@ -9,7 +9,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.fennelstage.canary.RolloutAge;
-import org.fennelstage.crash.Acquittal;
+import org.fennelstage.crash.ClearedCrashes;
 import org.fennelstage.crash.CrashReport;
 import org.fennelstage.crash.Fingerprint;
 import org.fennelstage.fleet.Incarnation;
@@ -74,7 +74,7 @@
 
         @Override
         public String text() {
-            return "unreachable " + server.server().value() + " " + server.bornMillis();
+            return "unreachable " + server.server().value() + " " + server.startMillis();
         }
     }
 
@@ -91,7 +91,7 @@
 
         @Override
         public String text() {
-            return "leaving " + server.server().value() + " " + server.bornMillis();
+            return "leaving " + server.server().value() + " " + server.startMillis();
         }
     }
 
@@ -173,7 +173,7 @@
         public String text() {
             final StringBuilder text = new StringBuilder("crash ");
             text.append(report.server().server().value());
-            text.append(' ').append(report.server().bornMillis());
+            text.append(' ').append(report.server().startMillis());
             report.contents().forEach(content -> text.append(' ').append(content));
             return text.toString();
         }
@@ -182,26 +182,25 @@
     /**
      * A request got a response, so earlier crashes during it no longer count.
      *
-     * @param acquittal the fingerprint of the request and the crashed backend servers
+     * @param crashes the fingerprint of the request and the crashed backend servers
      */
-    record CrashesCleared(Acquittal acquittal) implements PeerMessage {
+    record CrashesCleared(ClearedCrashes crashes) implements PeerMessage {
 
         public CrashesCleared {
-            Objects.requireNonNull(acquittal, "acquittal is null");
+            Objects.requireNonNull(crashes, "crashes is null");
         }
 
         @Override
         public String text() {
             final StringBuilder text = new StringBuilder("answered ");
-            text.append(acquittal.content());
-            acquittal
-                    .servers()
+            text.append(crashes.content());
+            crashes.servers()
                     .forEach(
                             server ->
                                     text.append(' ')
                                             .append(server.server().value())
                                             .append(',')
-                                            .append(server.bornMillis()));
+                                            .append(server.startMillis()));
             return text.toString();
         }
     }
@@ -246,7 +245,8 @@
         if (cleared.matches()) {
             final Fingerprint content = Fingerprint.parse(cleared.group(1));
             return Optional.of(
-                    new CrashesCleared(new Acquittal(content, incarnations(cleared.group(2)))));
+                    new CrashesCleared(
+                            new ClearedCrashes(content, incarnations(cleared.group(2)))));
         }
         final Matcher sums = LOAD_SUMS.matcher(text);
         if (sums.matches()) {
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/PeerMessageDispatcher.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/PeerMessageDispatcher.java
@@ -48,13 +48,13 @@
         } else if (message instanceof PeerMessage.Crash crash) {
             crashes.onReport(crash.report());
         } else if (message instanceof PeerMessage.CrashesCleared cleared) {
-            crashes.onAcquittal(cleared.acquittal());
+            crashes.onAcquittal(cleared.crashes());
         }
     }
 
     private void onDraining(final Incarnation server) {
-        if (beliefs.servers().onLeaving(server)) {
-            EventLog.write(Event.SERVER_LEAVES, "server", server, "source", "another VM");
+        if (beliefs.servers().onDraining(server)) {
+            EventLog.write(Event.SERVER_DRAINING, "server", server, "source", "another VM");
         }
     }
 
@@ -65,8 +65,9 @@
                         .find(incarnation.server())
                         .filter(s -> s.entry().incarnation().equals(incarnation));
         if (server.isPresent()) {
-            final boolean applied = server.get().health().onHearsay(draw);
-            EventLog.write(Event.SERVER_REPORTED, "server", incarnation, "believed", applied);
+            final boolean applied = server.get().health().onPeerReport(draw);
+            EventLog.write(
+                    Event.SERVER_REPORTED_UNREACHABLE, "server", incarnation, "believed", applied);
         }
     }
 }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/Peers.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/Peers.java
@@ -138,7 +138,11 @@
             onEntries(values);
             if (!contains(values, own)) {
                 EventLog.write(
-                        Event.VM_ENTERED, "vm", own.vm(), "position", done.value().position());
+                        Event.VM_ENTRY_WRITTEN,
+                        "vm",
+                        own.vm(),
+                        "position",
+                        done.value().position());
                 store.writeVm(own, Peers::onEntryWritten);
             }
         }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/QuarantineFeed.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/QuarantineFeed.java
@@ -125,8 +125,8 @@
 
     /** Performs the writes and deletions that are due. Called a few times a second. */
     void writeDue() {
-        for (final Fingerprint content : crashes.quarantine().takeExpired()) {
-            EventLog.write(Event.QUARANTINE_OVER, "content", content, "source", "time");
+        for (final Fingerprint content : crashes.quarantine().removeExpired()) {
+            EventLog.write(Event.QUARANTINE_ENDED, "content", content, "source", "time");
             toDelete.add(content);
         }
         releasedMillis.keySet().removeIf(content -> !wasReleased(content));
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/RolloutAges.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/RolloutAges.java
@@ -87,7 +87,7 @@
         final Duration change = canary.map(c -> c.onAge(age)).orElse(Duration.ZERO);
         if (Math.abs(change.toMillis()) >= MIN_LOGGED_CHANGE_MILLIS) {
             EventLog.write(
-                    Event.ROLLOUT_AGE,
+                    Event.ROLLOUT_AGE_CORRECTED,
                     "service",
                     age.service(),
                     "target",
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/PeerMessageTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/PeerMessageTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.NotEmpty;
 import org.fennelstage.canary.RolloutAge;
-import org.fennelstage.crash.Acquittal;
+import org.fennelstage.crash.ClearedCrashes;
 import org.fennelstage.crash.CrashReport;
 import org.fennelstage.crash.Fingerprint;
 import org.fennelstage.fleet.Incarnation;
@@ -72,7 +72,7 @@
     void crashesClearedRoundTrip() {
         final PeerMessage message =
                 new PeerMessage.CrashesCleared(
-                        new Acquittal(
+                        new ClearedCrashes(
                                 new Fingerprint(-1),
                                 Set.of(
                                         new Incarnation(BackendServerId.of("i-7"), 12),
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/RestorableStore.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/RestorableStore.java
@@ -243,7 +243,7 @@
                         entry.dataCentre(),
                         entry.version(),
                         entry.capacity(),
-                        entry.leaving(),
+                        entry.draining(),
                         position);
     }
 
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/StoreRestoreTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/StoreRestoreTest.java
@@ -213,7 +213,7 @@
 
         private void deregister() {
             drawServer()
-                    .filter(id -> entriesById.get(id).leaving())
+                    .filter(id -> entriesById.get(id).draining())
                     .ifPresent(
                             id -> {
                                 entriesById.remove(id);
@@ -241,7 +241,7 @@
                     && !versionsInUse.contains(orderedVersion.get())
                     && canary.admits(orderedVersion.get(), true)) {
                 for (int i = 0; i < 10; i++) {
-                    canary.onAnswer(BackendServerId.of("i-" + i), orderedVersion.get(), true, 0);
+                    canary.onResponse(BackendServerId.of("i-" + i), orderedVersion.get(), true, 0);
                 }
                 halted.add(orderedVersion.get());
             }
@@ -333,7 +333,7 @@
             assertThat(version).isGreaterThanOrEqualTo(lastConfiguration);
             lastConfiguration = version;
             for (final TrackedServer server : beliefs.servers().all()) {
-                if (server.entry().leaving()) {
+                if (server.entry().draining()) {
                     seenDraining.add(server.entry().id().value());
                 }
             }
@@ -361,7 +361,7 @@
             final Set<String> expected = new TreeSet<>();
             entriesById.forEach(
                     (id, entry) -> {
-                        if (!entry.leaving()) {
+                        if (!entry.draining()) {
                             expected.add(id);
                         }
                     });
