--- a/fennelstage-router/src/main/java/org/fennelstage/route/AdminApi.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/AdminApi.java
@@ -7,7 +7,7 @@
 import org.fennelstage.http.RequestHandler;
 import org.fennelstage.http.ServerExchange;
 
-/** What operators and the platform's balancer can ask of one VM. Thread-safe. */
+/** Serves the health, readiness, metrics and status endpoints of one VM. Thread-safe. */
 public final class AdminApi implements RequestHandler {
 
     private final BooleanSupplier ready;
@@ -15,11 +15,11 @@
     private final Supplier<byte[]> status;
 
     /**
-     * Creates the interface.
+     * Creates the handler.
      *
-     * @param ready whether the VM takes callers
+     * @param ready whether the VM accepts requests from callers
      * @param metrics the VM's metrics
-     * @param status the VM's state as JSON
+     * @param status returns the VM's state as JSON
      */
     public AdminApi(
             final BooleanSupplier ready,
@@ -50,7 +50,7 @@
                     exchange.respond(
                             404,
                             "text/plain",
-                            "there are /healthz, /readyz, /metrics and /status\n");
+                            "unknown path; use /healthz, /readyz, /metrics or /status\n");
         }
     }
 }
--- a/fennelstage-router/src/main/java/org/fennelstage/route/Admission.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/Admission.java
@@ -15,18 +15,20 @@
 import org.fennelstage.team.Team;
 
 /**
- * Admits requests within their team's rate and concurrency, or refuses them at once.
+ * Enforces each team's request rate and concurrency limits; requests over a limit are rejected
+ * immediately.
  *
- * <p>The rate of a team is for all VMs together; each admits an equal part of it. Thread-safe.
+ * <p>A team's rate limit applies to all VMs together; each VM admits an equal part of it.
+ * Thread-safe.
  */
 final class Admission {
 
-    private static final Duration CONCURRENCY_RETRY = Duration.ofSeconds(1);
+    private static final Duration CONCURRENCY_RETRY_AFTER = Duration.ofSeconds(1);
     private static final double BURST_SECONDS = 2;
-    private static final double LEAST_BURST = 2;
+    private static final double MIN_BURST = 2;
 
     private final InstantSource clock;
-    private final IntSupplier vms;
+    private final IntSupplier vmCount;
     private final Map<TeamId, Entry> entries = new ConcurrentHashMap<>();
     private final AtomicInteger inFlight = new AtomicInteger();
 
@@ -42,45 +44,46 @@
     }
 
     /**
-     * Creates an admission.
+     * Creates an admission control without requests in flight.
      *
      * @param clock the clock
-     * @param vms tells how many VMs share a team's rate
+     * @param vmCount returns the number of VMs that share a team's rate limit
      */
-    Admission(final InstantSource clock, final IntSupplier vms) {
+    Admission(final InstantSource clock, final IntSupplier vmCount) {
         this.clock = Objects.requireNonNull(clock, "clock is null");
-        this.vms = Objects.requireNonNull(vms, "vms is null");
+        this.vmCount = Objects.requireNonNull(vmCount, "vmCount is null");
     }
 
     /**
-     * Admits a request; an admitted one must be ended with {@link #end}.
+     * Admits or rejects a request. Each admitted request must be released with {@link #end}.
      *
      * @param team the team
-     * @return empty if admitted, else the refusal
+     * @return the rejection, empty if the request is admitted
      */
     Optional<Outcome.NotRun> begin(final Team team) {
-        final double rate = team.requestsPerSecond() / Math.max(1, vms.getAsInt());
-        final double burst = Math.max(LEAST_BURST, rate * BURST_SECONDS);
+        final double rate = team.requestsPerSecond() / Math.max(1, vmCount.getAsInt());
+        final double burst = Math.max(MIN_BURST, rate * BURST_SECONDS);
         final Entry entry =
                 entries.computeIfAbsent(
-                        team.id(), t -> new Entry(TokenBucket.of(clock, rate, burst), rate));
+                        team.id(), id -> new Entry(TokenBucket.of(clock, rate, burst), rate));
         if (entry.rate != rate) {
             entry.rate = rate;
             entry.bucket.resize(rate, burst);
         }
         if (entry.inFlight.incrementAndGet() > team.concurrency()) {
             entry.inFlight.decrementAndGet();
-            return refuse(team, "requests in flight", CONCURRENCY_RETRY);
+            return reject(team, "requests in flight", CONCURRENCY_RETRY_AFTER);
         }
-        final Optional<Duration> wait = entry.bucket.tryTake();
-        if (wait.isPresent()) {
+        final Optional<Duration> retryAfter = entry.bucket.tryTake();
+        if (retryAfter.isPresent()) {
             entry.inFlight.decrementAndGet();
-            return refuse(team, "requests per second", wait.get());
+            return reject(team, "requests per second", retryAfter.get());
         }
         inFlight.incrementAndGet();
         return Optional.empty();
     }
 
+    /** Releases an admitted request. */
     void end(final Team team) {
         inFlight.decrementAndGet();
         final Entry entry = entries.get(team.id());
@@ -93,10 +96,12 @@
         return inFlight.get();
     }
 
-    private static Optional<Outcome.NotRun> refuse(
-            final Team team, final String what, final Duration wait) {
+    private static Optional<Outcome.NotRun> reject(
+            final Team team, final String limitName, final Duration retryAfter) {
         return Optional.of(
                 Outcome.notRun(
-                        Reason.LIMIT, "team " + team.id() + " is over its limit of " + what, wait));
+                        Reason.LIMIT,
+                        "team " + team.id() + " exceeds its limit of " + limitName,
+                        retryAfter));
     }
 }
--- a/fennelstage-router/src/main/java/org/fennelstage/route/Attempts.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/Attempts.java
@@ -20,18 +20,18 @@
 import org.fennelstage.log.EventLog;
 
 /**
- * The attempts of one request at backend servers, one at a time.
+ * Sends the attempts of one request to backend servers, one at a time.
  *
- * <p>Invariants: no server is tried twice; bytes of an attempt that was given up reach nobody,
- * since its call is cancelled; the number of requests in flight at a server counts each attempt
- * once. Confined to the request's event loop.
+ * <p>Invariants: each attempt goes to a different server; a cancelled attempt delivers no further
+ * bytes to its listener; the number of requests in flight at a server counts each attempt once. Not
+ * thread-safe; confined to the event loop.
  */
 final class Attempts {
 
-    private static final int MOST = 3;
+    private static final int MAX_ATTEMPTS = 3;
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
 
-    private final WorkerTable workers;
+    private final ServerStateTable serverStates;
     private final HttpClient client;
     private final ObjIntConsumer<BackendServerId> onReleased;
     private final Set<BackendServerId> tried = new HashSet<>();
@@ -40,17 +40,18 @@
     private Call call;
 
     /**
-     * Creates attempts.
+     * Creates the attempts of one request.
      *
-     * @param workers what is known of servers
-     * @param client makes the calls
-     * @param onReleased hears that a server has one request of this VM less, and how many are left
+     * @param serverStates the states of the backend servers
+     * @param client opens the connections to backend servers
+     * @param onReleased called with a server and this VM's remaining number of requests in flight
+     *     there when an attempt ends
      */
     Attempts(
-            final WorkerTable workers,
+            final ServerStateTable serverStates,
             final HttpClient client,
             final ObjIntConsumer<BackendServerId> onReleased) {
-        this.workers = workers;
+        this.serverStates = serverStates;
         this.client = client;
         this.onReleased = onReleased;
     }
@@ -60,16 +61,16 @@
     }
 
     /**
-     * Tells whether any attempt may have run: one that is under way, or an earlier one that was not
-     * surely refused. Only the last attempt is not enough: a request that ran and failed, and was
-     * then retried at a server that cannot be reached, would be told "not run".
+     * Returns whether any attempt may have run: the current one, or an earlier one that was not
+     * known to be rejected. Considers all attempts, so that a request that ran, failed and was
+     * retried at an unreachable server is not reported as "not run".
      */
     boolean mayHaveRun() {
         return mayHaveRun || current.isPresent();
     }
 
-    boolean mayTryAgain() {
-        return tried.size() < MOST;
+    boolean mayRetry() {
+        return tried.size() < MAX_ATTEMPTS;
     }
 
     Set<BackendServerId> tried() {
@@ -77,12 +78,12 @@
     }
 
     /**
-     * Sends the request to a server that was placed, and so counted, for it.
+     * Sends the request to a server whose count of requests in flight already includes it.
      *
      * @param server the server
-     * @param options the bounds of the call, with or without a fresh connection
-     * @param request makes the request
-     * @param listener hears the response
+     * @param options the timeouts, and whether to use a new connection
+     * @param request creates the request message
+     * @param listener receives the response
      */
     void sendTo(
             final BackendServer server,
@@ -92,7 +93,7 @@
         release();
         current = Optional.of(server);
         tried.add(server.id());
-        workers.state(server.id()).breaker().onAttempt();
+        serverStates.state(server.id()).breaker().onAttempt();
         call =
                 client.send(
                         new InetSocketAddress(server.host(), server.port()),
@@ -102,52 +103,52 @@
     }
 
     /**
-     * Sends the request to a server that was not tried yet.
+     * Sends the request to a server that has not been tried yet.
      *
      * @param pool the servers
-     * @param choice how to choose
-     * @param prefix the hash of the prompt's prefix
-     * @param options the bounds of the call, with or without a fresh connection
-     * @param request makes the request
-     * @param listener hears the response
-     * @return the server, empty if there is none left
+     * @param selector the selection strategy
+     * @param prefixHash the hash of the prompt's prefix
+     * @param options the timeouts, and whether to use a new connection
+     * @param request creates the request message
+     * @param listener receives the response
+     * @return the server, empty if no untried server is available
      */
     Optional<BackendServer> send(
-            final Pool pool,
-            final ServerSelector choice,
-            final long prefix,
+            final ServerPool pool,
+            final ServerSelector selector,
+            final long prefixHash,
             final CallOptions options,
             final Supplier<FullHttpRequest> request,
             final ResponseListener listener) {
         release();
-        final Optional<BackendServer> chosen = pool.choose(choice, prefix, tried);
+        final Optional<BackendServer> chosen = pool.choose(selector, prefixHash, tried);
         chosen.ifPresent(
                 server -> {
-                    workers.state(server.id()).inFlight().incrementAndGet();
+                    serverStates.state(server.id()).inFlight().incrementAndGet();
                     sendTo(server, options, request, listener);
                 });
         return chosen;
     }
 
-    static CallOptions options(final Duration silence, final boolean idempotent) {
-        return CallOptions.of(CONNECT_TIMEOUT, silence, !idempotent);
+    static CallOptions options(final Duration inactivityTimeout, final boolean idempotent) {
+        return CallOptions.of(CONNECT_TIMEOUT, inactivityTimeout, !idempotent);
     }
 
-    /** Notes that the present server answered. */
-    void onAnswer() {
+    /** Records that the current server sent the head of a response. */
+    void onResponse() {
         mayHaveRun = true;
         current.ifPresent(
                 s -> {
-                    if (workers.state(s.id()).breaker().onSuccess()) {
+                    if (serverStates.state(s.id()).breaker().onSuccess()) {
                         EventLog.write(Event.SERVER_RECOVERED, "server", s.id());
                     }
                 });
     }
 
     /**
-     * Notes that the present attempt failed.
+     * Ends the current attempt as failed.
      *
-     * @param failure how
+     * @param failure the phase and cause of the failure
      */
     void onFailure(final CallFailure failure) {
         mayHaveRun |= failure.phase() != CallFailure.Phase.NOT_SENT;
@@ -155,7 +156,7 @@
                 s -> {
                     final boolean connectionFailed =
                             failure.phase() != CallFailure.Phase.RESPONDING;
-                    if (connectionFailed && workers.state(s.id()).breaker().onFailure()) {
+                    if (connectionFailed && serverStates.state(s.id()).breaker().onFailure()) {
                         EventLog.write(
                                 Event.SERVER_EXCLUDED,
                                 "server",
@@ -173,26 +174,29 @@
         }
     }
 
-    /** Gives the present attempt up, which may have run. */
+    /** Cancels the current attempt, which may have run. */
     void cancel() {
         mayHaveRun |= current.isPresent();
-        drop();
+        cancelCall();
     }
 
-    /** Ends the present attempt, which its server has surely not run. */
-    void drop() {
+    /**
+     * Cancels the call of the current attempt without recording that it may have run; for attempts
+     * that the server rejected.
+     */
+    void cancelCall() {
         if (call != null) {
             call.cancel();
         }
         release();
     }
 
-    /** Notes that the present attempt is over. */
+    /** Ends the current attempt and decrements the server's count of requests in flight. */
     void release() {
         current.ifPresent(
                 s -> {
-                    final int left = workers.state(s.id()).inFlight().decrementAndGet();
-                    onReleased.accept(s.id(), left);
+                    final int inFlight = serverStates.state(s.id()).inFlight().decrementAndGet();
+                    onReleased.accept(s.id(), inFlight);
                 });
         current = Optional.empty();
         call = null;
--- a/fennelstage-router/src/main/java/org/fennelstage/route/EngineRequest.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/BackendRequest.java
@@ -13,12 +13,12 @@
 import org.fennelstage.objects.Json;
 import org.fennelstage.profile.Profile;
 
-/** A caller's request in the form that a model engine takes. Stateless and thread-safe. */
-final class EngineRequest {
+/** Creates the message sent to a backend server for a chat request. Stateless and thread-safe. */
+final class BackendRequest {
 
     private static final int PREFIX_CHARACTERS = 256;
 
-    private EngineRequest() {}
+    private BackendRequest() {}
 
     static FullHttpRequest of(
             final ServerExchange exchange,
@@ -43,8 +43,11 @@
         return message;
     }
 
-    /** Returns the hash of the prompt's prefix, by which workers' caches are told apart. */
-    static long prefix(final ChatRequest request) {
+    /**
+     * Returns the hash of the prompt's prefix, used to choose a backend server whose prompt cache
+     * is likely to hold it.
+     */
+    static long prefixHash(final ChatRequest request) {
         final String text = request.messages().toString();
         return Hashing.komihash5_0()
                 .hashStream()
--- a/fennelstage-router/src/main/java/org/fennelstage/route/CallerApi.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/CallerApi.java
@@ -22,24 +22,27 @@
 import org.fennelstage.session.SessionTokens;
 import org.fennelstage.team.Team;
 
-/** What callers can ask. Thread-safe. */
+/**
+ * Serves the API for callers: authenticates, validates and admits requests, then starts their
+ * execution. Thread-safe.
+ */
 final class CallerApi implements RequestHandler {
 
-    private static final String CHAT = "/v1/chat/completions";
-    private static final String MODELS = "/v1/models";
-    private static final String SERVICES = "/services/";
+    private static final String CHAT_PATH = "/v1/chat/completions";
+    private static final String MODELS_PATH = "/v1/models";
+    private static final String SERVICES_PATH = "/services/";
     private static final String BEARER = "Bearer ";
 
     private final Services services;
-    private final Function<EventLoop, LoopContext> loops;
+    private final Function<EventLoop, EventLoopContext> loopContexts;
     private final Supplier<Boolean> draining;
 
     CallerApi(
             final Services services,
-            final Function<EventLoop, LoopContext> loops,
+            final Function<EventLoop, EventLoopContext> loopContexts,
             final Supplier<Boolean> draining) {
         this.services = services;
-        this.loops = loops;
+        this.loopContexts = loopContexts;
         this.draining = draining;
     }
 
@@ -48,12 +51,12 @@
         final RequestId id = services.ids().next();
         try {
             if (draining.get()) {
-                throw refuse(Reason.SHUTTING_DOWN, "this VM stops; try again at once");
+                throw reject(Reason.SHUTTING_DOWN, "this VM is shutting down; retry immediately");
             }
             final Configuration configuration = services.configuration().get();
             final Team team = authenticate(configuration, exchange);
             route(configuration, team, exchange, id);
-        } catch (final RefusedException e) {
+        } catch (final RejectedException e) {
             OutcomeResponse.send(exchange, id, e.outcome());
         }
     }
@@ -63,20 +66,25 @@
             final Team team,
             final ServerExchange exchange,
             final RequestId id)
-            throws RefusedException {
+            throws RejectedException {
         final String path = exchange.path();
-        if (path.equals(CHAT)) {
+        if (path.equals(CHAT_PATH)) {
             requireMethod(exchange, "POST");
             chat(configuration, team, exchange, id);
-        } else if (path.equals(MODELS)) {
+        } else if (path.equals(MODELS_PATH)) {
             requireMethod(exchange, "GET");
             models(team, exchange);
-        } else if (path.startsWith(SERVICES)) {
+        } else if (path.startsWith(SERVICES_PATH)) {
             service(configuration, team, exchange, id);
         } else {
-            throw refuse(
+            throw reject(
                     Reason.UNKNOWN_SERVICE,
-                    "no such path; there are " + CHAT + ", " + MODELS + " and " + SERVICES);
+                    "unknown path; available paths are "
+                            + CHAT_PATH
+                            + ", "
+                            + MODELS_PATH
+                            + " and "
+                            + SERVICES_PATH);
         }
     }
 
@@ -85,20 +93,20 @@
             final Team team,
             final ServerExchange exchange,
             final RequestId id)
-            throws RefusedException {
+            throws RejectedException {
         final ChatRequest request = ChatRequest.parse(exchange);
         final Profile profile = profile(configuration, team, request.profile());
         if (!profile.idempotent() && request.idempotencyKey().isEmpty()) {
-            throw refuse(
+            throw reject(
                     Reason.KEY_REQUIRED,
                     "profile "
                             + profile.id()
-                            + " runs a request at most once and needs the header Idempotency-Key");
+                            + " is not idempotent: the header Idempotency-Key is required");
         }
         final Optional<Session> session = session(configuration, request);
         admit(team);
-        final LoopContext loop = loops.apply(exchange.eventLoop());
-        new ChatRun(services, loop, exchange, team, profile, request, session, id).start();
+        final EventLoopContext loop = loopContexts.apply(exchange.eventLoop());
+        new ChatExecution(services, loop, exchange, team, profile, request, session, id).start();
     }
 
     private void service(
@@ -106,20 +114,20 @@
             final Team team,
             final ServerExchange exchange,
             final RequestId id)
-            throws RefusedException {
-        final String rest = exchange.uri().substring(SERVICES.length());
+            throws RejectedException {
+        final String rest = exchange.uri().substring(SERVICES_PATH.length());
         final int slash = rest.indexOf('/');
         final String name = slash < 0 ? rest : rest.substring(0, slash);
         final String target = slash < 0 ? "/" : rest.substring(slash);
         final ServiceName service = serviceName(configuration, name);
         final Optional<String> key = ChatRequest.key(exchange);
         admit(team);
-        final LoopContext loop = loops.apply(exchange.eventLoop());
-        new ServiceRun(services, loop, exchange, team, service, target, key, id).start();
+        final EventLoopContext loop = loopContexts.apply(exchange.eventLoop());
+        new ServiceExecution(services, loop, exchange, team, service, target, key, id).start();
     }
 
     private static ServiceName serviceName(final Configuration configuration, final String name)
-            throws RefusedException {
+            throws RejectedException {
         try {
             final ServiceName service = ServiceName.of(name);
             final boolean isDeclared =
@@ -129,9 +137,9 @@
                 return service;
             }
         } catch (final IllegalArgumentException e) {
-            throw refuse(Reason.UNKNOWN_SERVICE, e.getMessage());
+            throw reject(Reason.UNKNOWN_SERVICE, e.getMessage());
         }
-        throw refuse(Reason.UNKNOWN_SERVICE, "no service '" + name + "' is declared");
+        throw reject(Reason.UNKNOWN_SERVICE, "service '" + name + "' is not declared");
     }
 
     private void models(final Team team, final ServerExchange exchange) {
@@ -146,7 +154,7 @@
 
     private static Team authenticate(
             final Configuration configuration, final ServerExchange exchange)
-            throws RefusedException {
+            throws RejectedException {
         final String header = exchange.headers().get("authorization", "");
         if (header.startsWith(BEARER)) {
             final String key = header.substring(BEARER.length()).trim();
@@ -156,26 +164,28 @@
                 }
             }
         }
-        throw refuse(Reason.UNAUTHENTICATED, "a team's key is needed: Authorization: Bearer KEY");
+        throw reject(
+                Reason.UNAUTHENTICATED,
+                "missing or invalid team key; send the header Authorization: Bearer KEY");
     }
 
     private static Profile profile(
             final Configuration configuration, final Team team, final ProfileId id)
-            throws RefusedException {
+            throws RejectedException {
         final Optional<Profile> profile = configuration.profile(id);
         if (profile.isEmpty() || !team.profiles().contains(id)) {
-            throw refuse(
+            throw reject(
                     Reason.UNKNOWN_PROFILE,
-                    "no profile '"
+                    "profile '"
                             + id
-                            + "' for this team; allowed are "
+                            + "' is not available to this team; available profiles are "
                             + team.profiles().stream().sorted().toList());
         }
         return profile.get();
     }
 
     private static Optional<Session> session(
-            final Configuration configuration, final ChatRequest request) throws RefusedException {
+            final Configuration configuration, final ChatRequest request) throws RejectedException {
         final Optional<String> token =
                 request.session().filter(s -> !s.equals(ChatRequest.NEW_SESSION));
         if (token.isEmpty()) {
@@ -184,31 +194,31 @@
         try {
             final Session session = SessionTokens.verify(configuration.keys(), token.get());
             if (!session.profile().equals(request.profile())) {
-                throw refuse(
+                throw reject(
                         Reason.INVALID_SESSION,
-                        "the session was begun on profile " + session.profile());
+                        "the session belongs to profile " + session.profile());
             }
             return Optional.of(session);
         } catch (final InvalidTokenException | IllegalArgumentException e) {
-            throw refuse(Reason.INVALID_SESSION, e.getMessage());
+            throw reject(Reason.INVALID_SESSION, e.getMessage());
         }
     }
 
-    private void admit(final Team team) throws RefusedException {
-        final Optional<Outcome.NotRun> refusal = services.admission().begin(team);
-        if (refusal.isPresent()) {
-            throw new RefusedException(refusal.get());
+    private void admit(final Team team) throws RejectedException {
+        final Optional<Outcome.NotRun> rejection = services.admission().begin(team);
+        if (rejection.isPresent()) {
+            throw new RejectedException(rejection.get());
         }
     }
 
     private static void requireMethod(final ServerExchange exchange, final String method)
-            throws RefusedException {
+            throws RejectedException {
         if (!exchange.method().equals(method)) {
-            throw refuse(Reason.MALFORMED, "use " + method + " on " + exchange.path());
+            throw reject(Reason.MALFORMED, "use the method " + method + " for " + exchange.path());
         }
     }
 
-    private static RefusedException refuse(final Reason reason, final String detail) {
-        return new RefusedException(Outcome.notRun(reason, detail));
+    private static RejectedException reject(final Reason reason, final String detail) {
+        return new RejectedException(Outcome.notRun(reason, detail));
     }
 }
--- a/fennelstage-router/src/main/java/org/fennelstage/route/Cascades.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/Cascades.java
@@ -14,14 +14,14 @@
 import org.fennelstage.team.Team;
 
 /**
- * Chooses the model that answers a request, or two in turn, and learns from ratings. What is learnt
- * stays on this VM. Thread-safe.
+ * Selects the model for a request, or a cascade of two models, based on the ratings and response
+ * times seen by this VM. Thread-safe.
  */
 final class Cascades {
 
     private final RatingTable table = RatingTable.empty();
     private final CascadePolicy policy = CascadePolicy.of(table);
-    private final AnswerTimes times = new AnswerTimes();
+    private final ResponseTimes responseTimes = new ResponseTimes();
     private final VersionChooser.Progress progress;
 
     Cascades(final VersionChooser.Progress progress) {
@@ -29,23 +29,23 @@
     }
 
     /**
-     * What a request does first. Immutable and thread-safe.
+     * The model of the first attempt and an optional fallback. Immutable and thread-safe.
      *
-     * @param model the model that answers first
-     * @param fallback the version that answers if the first answer is not good enough; empty if the
-     *     first answer goes out whatever it is
+     * @param model the model of the first attempt
+     * @param fallback the version to use if the first answer is not good enough; empty if the first
+     *     answer is always returned
      */
     record Stage(ModelId model, Optional<ModelVersion> fallback) {}
 
     /**
-     * Chooses.
+     * Selects the first stage of a request.
      *
-     * @param configuration what is in force
-     * @param team who asks
-     * @param profile the profile asked for
-     * @param mayRunTwice whether two models may run the request in turn
-     * @param left the time to the deadline
-     * @param id the request, which decides whether to explore
+     * @param configuration the current configuration
+     * @param team the team of the caller
+     * @param profile the requested profile
+     * @param mayRunTwice whether two models may run the request one after the other
+     * @param timeLeft the time left until the deadline
+     * @param id the request id, whose hash decides whether to explore
      * @return the first stage
      */
     Stage choose(
@@ -53,10 +53,11 @@
             final Team team,
             final Profile profile,
             final boolean mayRunTwice,
-            final Duration left,
+            final Duration timeLeft,
             final RequestId id) {
-        final Optional<ModelVersion> cheap = proven(configuration, team, profile.cheapest());
-        final Optional<ModelVersion> best = proven(configuration, team, profile.best());
+        final Optional<ModelVersion> cheap =
+                currentVersion(configuration, team, profile.cheapest());
+        final Optional<ModelVersion> best = currentVersion(configuration, team, profile.best());
         if (cheap.isEmpty() || best.isEmpty() || profile.models().size() == 1) {
             return new Stage(
                     best.isPresent() ? profile.best() : profile.cheapest(), Optional.empty());
@@ -66,8 +67,8 @@
                         profile,
                         option(profile, cheap.get()),
                         option(profile, best.get()),
-                        left.toMillis() / 1000.0,
-                        Ratings.fraction("cascade/" + id));
+                        timeLeft.toMillis() / 1000.0,
+                        RatingClient.sampleFraction("cascade/" + id));
         return switch (plan) {
             case CHEAP -> new Stage(profile.cheapest(), Optional.empty());
             case BEST -> new Stage(profile.best(), Optional.empty());
@@ -86,16 +87,16 @@
         return policy.accepts(profile, cheap, best, confidence);
     }
 
-    void answered(
+    void recordAnswer(
             final Profile profile,
             final VersionId version,
             final double confidence,
             final double seconds) {
         table.recordAnswer(profile.id(), version, confidence);
-        times.note(profile.id(), version, seconds);
+        responseTimes.record(profile.id(), version, seconds);
     }
 
-    void rated(
+    void recordRating(
             final Profile profile,
             final VersionId version,
             final double confidence,
@@ -103,7 +104,7 @@
         table.recordRating(profile.id(), version, confidence, rating);
     }
 
-    private Optional<ModelVersion> proven(
+    private Optional<ModelVersion> currentVersion(
             final Configuration configuration, final Team team, final ModelId model) {
         return VersionChooser.choose(configuration, team, model, progress)
                         instanceof VersionChooser.Choice.Chosen chosen
@@ -115,6 +116,6 @@
         return new CascadePolicy.Option(
                 version.id(),
                 version.costPerThousandTokens(),
-                times.seconds(profile.id(), version.id()));
+                responseTimes.meanSeconds(profile.id(), version.id()));
     }
 }
--- a/fennelstage-router/src/main/java/org/fennelstage/route/ChatRun.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/ChatExecution.java
@@ -30,23 +30,23 @@
 import org.fennelstage.team.Team;
 
 /**
- * One request to a profile, from its admission to its outcome.
+ * Executes one chat request, from its admission to its outcome.
  *
- * <p>Invariants: exactly one outcome; a non-idempotent request is sent at most once, and only while
- * this run holds its claim; "not run" is told only if no byte of the request was sent and none will
- * be; the end of an answer is shown only after its bill is in two memories. Confined to the event
- * loop of the caller's connection.
+ * <p>Invariants: exactly one outcome is reported; a non-idempotent request is sent at most once,
+ * and only while this execution holds its claim; "not run" is reported only if no byte of the
+ * request was sent and none will be; the end of a response is sent only after its bill is held by
+ * two VMs. Not thread-safe; confined to the event loop of the caller's connection.
  */
-final class ChatRun {
+final class ChatExecution {
 
-    private static final Duration NO_BACKEND_RETRY = Duration.ofSeconds(2);
-    private static final int NOT_FOUND = 404;
-    private static final int TOO_MANY = 429;
-    private static final int UNAVAILABLE = 503;
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(2);
+    private static final int STATUS_NOT_FOUND = 404;
+    private static final int STATUS_TOO_MANY_REQUESTS = 429;
+    private static final int STATUS_UNAVAILABLE = 503;
     private static final double NANOS_PER_SECOND = 1e9;
 
     private final Services services;
-    private final LoopContext loop;
+    private final EventLoopContext loopContext;
     private final ServerExchange exchange;
     private final Team team;
     private final Profile profile;
@@ -56,21 +56,21 @@
     private final Configuration configuration;
     private final long startNanos = System.nanoTime();
     private final Attempts attempts;
-    private final ChatAnswer answer;
-    private final Duration limit;
+    private final ChatResponse response;
+    private final Duration deadline;
     private ScheduledFuture<?> deadlineTimer;
     private ModelVersion version;
-    private Optional<Rollout> exposure = Optional.empty();
+    private Optional<Rollout> activeRollout = Optional.empty();
     private Optional<ModelVersion> fallback = Optional.empty();
-    private double costOfDropped;
-    private long attemptNanos = startNanos;
+    private double discardedCost;
+    private long attemptStartNanos = startNanos;
     private boolean claimed;
 
     private boolean ended;
 
-    ChatRun(
+    ChatExecution(
             final Services services,
-            final LoopContext loop,
+            final EventLoopContext loopContext,
             final ServerExchange exchange,
             final Team team,
             final Profile profile,
@@ -78,7 +78,7 @@
             final Optional<Session> session,
             final RequestId id) {
         this.services = services;
-        this.loop = loop;
+        this.loopContext = loopContext;
         this.exchange = exchange;
         this.team = team;
         this.profile = profile;
@@ -86,21 +86,23 @@
         this.session = session;
         this.id = id;
         this.configuration = services.configuration().get();
-        this.attempts = new Attempts(services.workers(), loop.client(), services.ledger()::changed);
-        this.limit =
+        this.attempts =
+                new Attempts(
+                        services.serverStates(), loopContext.client(), services.ledger()::changed);
+        this.deadline =
                 request.deadline()
                         .filter(d -> d.compareTo(profile.deadline()) < 0)
                         .orElse(profile.deadline());
-        this.answer = new ChatAnswer(exchange, id, profile.id(), request.stream());
+        this.response = new ChatResponse(exchange, id, profile.id(), request.stream());
     }
 
-    /** Begins; the request has been admitted. */
+    /** Starts the execution of a request that has been admitted. */
     void start() {
         services.metrics().begin();
         deadlineTimer =
                 exchange.eventLoop()
-                        .schedule(this::onDeadline, limit.toMillis(), TimeUnit.MILLISECONDS);
-        exchange.onClosed(this::onCallerGone);
+                        .schedule(this::onDeadline, deadline.toMillis(), TimeUnit.MILLISECONDS);
+        exchange.onClosed(this::onCallerDisconnected);
         if (ended) {
             return;
         }
@@ -118,15 +120,15 @@
                                                 team,
                                                 chooseModel(),
                                                 services.rollouts()));
-        if (choice instanceof VersionChooser.Choice.Rejected refused) {
-            end(refused.outcome());
+        if (choice instanceof VersionChooser.Choice.Rejected rejected) {
+            end(rejected.outcome());
         } else if (choice instanceof VersionChooser.Choice.Chosen chosen) {
             version = chosen.version();
-            exposure = chosen.completedRollout();
-            final Optional<Rollout> trial =
+            activeRollout = chosen.completedRollout();
+            final Optional<Rollout> sampledRollout =
                     chosen.runningRollout().filter(r -> fallback.isEmpty()).filter(this::isSampled);
-            if (trial.isPresent()) {
-                askForShare(trial.get());
+            if (sampledRollout.isPresent()) {
+                requestShare(sampledRollout.get());
             } else {
                 claim();
             }
@@ -134,24 +136,24 @@
     }
 
     private ModelId chooseModel() {
-        // A session stays on one version and a non-idempotent request runs once, so neither may be
-        // answered by two models in turn.
+        // A session stays on one version and a non-idempotent request runs at most once, so neither
+        // may use a cascade of two models.
         final boolean mayRunTwice = profile.idempotent() && request.session().isEmpty();
         final Cascades.Stage stage =
-                services.cascades().choose(configuration, team, profile, mayRunTwice, limit, id);
+                services.cascades().choose(configuration, team, profile, mayRunTwice, deadline, id);
         fallback = stage.fallback();
         if (fallback.isPresent()) {
-            answer.hold();
+            response.startBuffering();
         }
         return stage.model();
     }
 
     private boolean isSampled(final Rollout rollout) {
         final String key = rollout.id() + "/" + id;
-        return Ratings.fraction(key) < services.rollouts().share(rollout);
+        return RatingClient.sampleFraction(key) < services.rollouts().share(rollout);
     }
 
-    private void askForShare(final Rollout rollout) {
+    private void requestShare(final Rollout rollout) {
         services.rollouts()
                 .request(rollout)
                 .thenAccept(share -> onLoop(() -> onShare(rollout, share)));
@@ -161,7 +163,7 @@
         final Optional<ModelVersion> candidate = configuration.version(rollout.candidate());
         if (share.granted() && candidate.isPresent()) {
             version = candidate.get();
-            exposure = Optional.of(rollout);
+            activeRollout = Optional.of(rollout);
             services.rollouts().exposed(rollout.id());
         }
         claim();
@@ -174,26 +176,27 @@
         }
         services.claims()
                 .take(claimKey(), id)
-                .thenAccept(result -> Loops.run(exchange.eventLoop(), () -> onClaim(result)));
+                .thenAccept(result -> EventLoops.run(exchange.eventLoop(), () -> onClaim(result)));
     }
 
     private void onClaim(final ClaimAnswer result) {
-        if (result instanceof ClaimAnswer.Refused refused) {
-            end(Duplicates.outcome(refused.held()));
+        if (result instanceof ClaimAnswer.Refused duplicate) {
+            end(DuplicateRequests.outcome(duplicate.held()));
             return;
         }
         claimed = true;
         if (ended) {
-            // The caller left or the deadline passed while the claim was on its way. Nothing was
-            // sent, so the key is given back; kept, it would block the caller's next attempt.
-            giveClaimBack();
+            // The caller disconnected or the deadline passed while the claim was pending. Nothing
+            // was sent, so the claim is released; otherwise it would block the caller's next
+            // request.
+            releaseClaim();
         } else if (result instanceof ClaimAnswer.Unavailable unavailable) {
             EventLog.write(Event.CLAIM_UNAVAILABLE, "request", id, "detail", unavailable.detail());
             end(
                     Outcome.notRun(
                             Reason.CLAIM_UNAVAILABLE,
-                            "at-most-once cannot be ensured at present: " + unavailable.detail(),
-                            NO_BACKEND_RETRY));
+                            "cannot claim the idempotency key: " + unavailable.detail(),
+                            RETRY_AFTER));
         } else {
             dispatch();
         }
@@ -206,11 +209,11 @@
         if (attempts.isFirst()) {
             services.retries().onFirstAttempt();
         }
-        // The declarations may have changed while the share or the claim was on its way; a version
-        // withdrawn meanwhile must not get this request.
-        final Configuration now = services.configuration().get();
+        // The configuration may have changed while the share or the claim was pending; a version
+        // that was withdrawn in the meantime must not get this request.
+        final Configuration latest = services.configuration().get();
         final boolean usable =
-                now.version(version.id())
+                latest.version(version.id())
                         .filter(v -> session.isPresent() ? v.acceptsSession() : v.acceptsNew())
                         .isPresent();
         if (!usable) {
@@ -218,11 +221,15 @@
             return;
         }
         final List<BackendServer> candidates =
-                loop.pool(now, version.id())
-                        .candidates(EngineRequest.prefix(request), attempts.tried(), loop.random());
+                loopContext
+                        .pool(latest, version.id())
+                        .candidates(
+                                BackendRequest.prefixHash(request),
+                                attempts.tried(),
+                                loopContext.random());
         new Placement(
                         services.ledger(),
-                        services.workers(),
+                        services.serverStates(),
                         exchange.eventLoop(),
                         candidates,
                         this::onPlaced)
@@ -231,7 +238,7 @@
 
     private void onPlaced(final Optional<BackendServer> server) {
         if (ended) {
-            server.ifPresent(this::giveSlotBack);
+            server.ifPresent(this::releaseSlot);
             return;
         }
         if (server.isEmpty()) {
@@ -239,22 +246,23 @@
             return;
         }
         services.metrics().sent(version.id());
-        answer.onChosen(version.id(), server.get().id(), explanation(), team.explain());
-        attemptNanos = System.nanoTime();
+        response.onServerChosen(version.id(), server.get().id(), explanation(), team.explain());
+        attemptStartNanos = System.nanoTime();
         attempts.sendTo(
                 server.get(),
                 Attempts.options(profile.deadline(), profile.idempotent()),
-                () -> EngineRequest.of(exchange, request, profile, version.id(), id),
-                new ChatListener(this));
+                () -> BackendRequest.of(exchange, request, profile, version.id(), id),
+                new ChatResponseListener(this));
     }
 
-    private void giveSlotBack(final BackendServer server) {
-        final int left = services.workers().state(server.id()).inFlight().decrementAndGet();
-        services.ledger().changed(server.id(), left);
+    private void releaseSlot(final BackendServer server) {
+        final int inFlightLeft =
+                services.serverStates().state(server.id()).inFlight().decrementAndGet();
+        services.ledger().changed(server.id(), inFlightLeft);
     }
 
     private void endWithoutServer() {
-        final String detail = "no backend server for version " + version.id();
+        final String detail = "no backend server available for version " + version.id();
         end(notRunOrUnknown(detail));
     }
 
@@ -262,10 +270,10 @@
         if (session.isPresent()) {
             return "session";
         }
-        if (fallback.isPresent() || costOfDropped > 0) {
+        if (fallback.isPresent() || discardedCost > 0) {
             return "cascade";
         }
-        return exposure.map(r -> "rollout " + r.id()).orElse("proven");
+        return activeRollout.map(r -> "rollout " + r.id()).orElse("proven");
     }
 
     private String claimKey() {
@@ -279,59 +287,62 @@
         attempts.cancel();
         end(
                 attempts.mayHaveRun()
-                        ? lateAfterSending()
+                        ? deadlineOutcomeAfterSending()
                         : Outcome.notRun(
                                 Reason.DEADLINE,
                                 "the deadline passed before the request ran",
-                                NO_BACKEND_RETRY));
+                                RETRY_AFTER));
     }
 
-    private Outcome lateAfterSending() {
-        return answer.hasBegun()
-                ? new Outcome.FailedAfterRun("the deadline passed during the answer")
-                : new Outcome.Unknown("the deadline passed before an answer came");
+    private Outcome deadlineOutcomeAfterSending() {
+        return response.hasStarted()
+                ? new Outcome.FailedAfterRun("the deadline passed during the response")
+                : new Outcome.Unknown("the deadline passed before a response arrived");
     }
 
-    private void onCallerGone() {
+    private void onCallerDisconnected() {
         if (ended) {
             return;
         }
         attempts.cancel();
-        end(new Outcome.Unknown("the caller went away"));
+        end(new Outcome.Unknown("the caller closed the connection"));
     }
 
     void onFailure(final CallFailure failure) {
         attempts.onFailure(failure);
         final boolean notSent = failure.phase() == CallFailure.Phase.NOT_SENT;
         if (!notSent) {
-            judge(Signal.ERROR, true);
+            recordSignal(Signal.ERROR, true);
         }
-        final boolean repeatable = notSent || (profile.idempotent() && !answer.hasBegun());
-        if (repeatable && tryAgain(failure.detail())) {
+        final boolean retryable = notSent || (profile.idempotent() && !response.hasStarted());
+        if (retryable && retry(failure.detail())) {
             return;
         }
         if (notSent) {
             end(notRunOrUnknown(failure.detail()));
         } else if (failure.phase() == CallFailure.Phase.MAYBE_SENT) {
-            end(new Outcome.Unknown("the backend server gave no answer: " + failure.detail()));
+            end(new Outcome.Unknown("the backend server sent no response: " + failure.detail()));
         } else {
-            end(new Outcome.FailedAfterRun("the answer broke off: " + failure.detail()));
+            end(new Outcome.FailedAfterRun("the response was interrupted: " + failure.detail()));
         }
     }
 
     void onErrorStatus(final int status) {
-        final boolean refused = status == NOT_FOUND || status == TOO_MANY || status == UNAVAILABLE;
-        if (refused) {
-            attempts.drop();
+        final boolean rejected =
+                status == STATUS_NOT_FOUND
+                        || status == STATUS_TOO_MANY_REQUESTS
+                        || status == STATUS_UNAVAILABLE;
+        if (rejected) {
+            attempts.cancelCall();
         } else {
             attempts.cancel();
-            judge(Signal.ERROR, true);
+            recordSignal(Signal.ERROR, true);
         }
-        final String detail = "the backend server answered " + status;
-        if ((refused || profile.idempotent()) && tryAgain(detail)) {
+        final String detail = "the backend server responded with status " + status;
+        if ((rejected || profile.idempotent()) && retry(detail)) {
             return;
         }
-        if (refused) {
+        if (rejected) {
             end(notRunOrUnknown(detail));
         } else {
             end(new Outcome.FailedAfterRun(detail));
@@ -341,39 +352,42 @@
     private Outcome notRunOrUnknown(final String detail) {
         return attempts.mayHaveRun()
                 ? new Outcome.Unknown(detail + "; an earlier attempt may have run")
-                : Outcome.notRun(Reason.NO_BACKEND, detail, NO_BACKEND_RETRY);
+                : Outcome.notRun(Reason.NO_BACKEND, detail, RETRY_AFTER);
     }
 
-    private boolean tryAgain(final String detail) {
-        if (ended || !attempts.mayTryAgain() || !services.retries().tryRetry()) {
+    private boolean retry(final String detail) {
+        if (ended || !attempts.mayRetry() || !services.retries().tryRetry()) {
             return false;
         }
         EventLog.write(Event.REQUEST_RETRIED, "request", id, "detail", detail);
         services.metrics().retried();
         if (fallback.isPresent()) {
             useFallback();
-        } else if (exposure.isPresent()) {
-            // The candidate failed this caller once; the proven version answers the next attempt.
-            final Optional<ModelVersion> proven =
-                    configuration.version(exposure.get().proven()).filter(ModelVersion::acceptsNew);
-            exposure = Optional.empty();
-            proven.ifPresent(v -> version = v);
+        } else if (activeRollout.isPresent()) {
+            // The retry uses the current version, since the attempt with the new version failed.
+            final Optional<ModelVersion> currentVersion =
+                    configuration
+                            .version(activeRollout.get().proven())
+                            .filter(ModelVersion::acceptsNew);
+            activeRollout = Optional.empty();
+            currentVersion.ifPresent(v -> version = v);
         }
         dispatch();
         return true;
     }
 
-    private void judge(final Signal signal, final boolean isBad) {
-        exposure.ifPresent(r -> services.rollouts().judged(r.id(), signal, isBad));
+    private void recordSignal(final Signal signal, final boolean isBad) {
+        activeRollout.ifPresent(r -> services.rollouts().judged(r.id(), signal, isBad));
     }
 
-    void onWholeAnswer() {
-        attempts.onAnswer();
+    void onResponseComplete() {
+        attempts.onResponse();
         attempts.release();
-        judge(Signal.ERROR, false);
-        judge(Signal.TRUNCATION, answer.isTruncated());
-        final double taken = (System.nanoTime() - attemptNanos) / NANOS_PER_SECOND;
-        services.cascades().answered(profile, version.id(), answer.confidence(), taken);
+        recordSignal(Signal.ERROR, false);
+        recordSignal(Signal.TRUNCATION, response.isTruncated());
+        final double responseSeconds = (System.nanoTime() - attemptStartNanos) / NANOS_PER_SECOND;
+        services.cascades()
+                .recordAnswer(profile, version.id(), response.confidence(), responseSeconds);
         rate();
         if (fallback.isPresent()) {
             final boolean isGoodEnough =
@@ -382,15 +396,15 @@
                                     profile,
                                     version.id(),
                                     fallback.get().id(),
-                                    answer.confidence());
+                                    response.confidence());
             if (!isGoodEnough) {
-                costOfDropped = cost();
+                discardedCost = cost();
                 useFallback();
                 dispatch();
                 return;
             }
             onFirstToken();
-            answer.accept();
+            response.releaseBuffered();
         }
         if (!profile.idempotent()) {
             services.claims().done(claimKey(), id);
@@ -401,61 +415,63 @@
                         team.id(),
                         profile.id(),
                         version.id(),
-                        answer.tokens(),
-                        costOfDropped + cost(),
+                        response.tokens(),
+                        discardedCost + cost(),
                         services.clock().millis());
-        services.bills().record(bill).thenAccept(done -> onLoop(this::finishAnswer));
+        services.bills().record(bill).thenAccept(done -> onLoop(this::finishResponse));
     }
 
-    /** Takes one piece of the answer. */
-    void onPiece(final JsonNode piece) {
-        if (!answer.hasBegun() && !answer.isHeld()) {
+    /** Handles one chunk of the response. */
+    void onChunk(final JsonNode chunk) {
+        if (!response.hasStarted() && !response.isBuffering()) {
             onFirstToken();
         }
-        answer.add(piece);
+        response.addChunk(chunk);
     }
 
-    /** Reads no more of the answer while the caller takes it too slowly. */
-    void slowDown() {
+    /** Stops reading from the backend server while the caller's connection is not writable. */
+    void applyBackpressure() {
         if (!exchange.isWritable()) {
             attempts.pause(true);
         }
     }
 
-    private void finishAnswer() {
+    private void finishResponse() {
         final Optional<String> token =
-                SessionIssue.token(configuration.keys(), request, session, team, version.id());
-        answer.finish(token);
+                SessionTokenIssuer.token(
+                        configuration.keys(), request, session, team, version.id());
+        response.finish(token);
         end(new Outcome.Complete());
     }
 
     private void onFirstToken() {
-        services.metrics().firstToken(profile.id(), seconds());
-        judge(Signal.LATE, seconds() * 1000 > profile.firstToken().toMillis());
+        services.metrics().firstToken(profile.id(), elapsedSeconds());
+        recordSignal(Signal.LATE, elapsedSeconds() * 1000 > profile.firstToken().toMillis());
     }
 
     private double cost() {
-        return answer.tokens() * version.costPerThousandTokens() / 1000;
+        return response.tokens() * version.costPerThousandTokens() / 1000;
     }
 
-    /** Lets the best version answer; the cheap answer is dropped. */
+    /** Switches to the fallback version and discards the buffered answer. */
     private void useFallback() {
         fallback.ifPresent(v -> version = v);
         fallback = Optional.empty();
-        answer.drop();
+        response.discardBuffered();
     }
 
     private void rate() {
-        final Optional<Rollout> rollout = exposure;
-        final VersionId rated = version.id();
-        final double confidence = answer.confidence();
+        final Optional<Rollout> rollout = activeRollout;
+        final VersionId ratedVersion = version.id();
+        final double confidence = response.confidence();
         services.ratings()
                 .rate(
-                        loop.client(),
+                        loopContext.client(),
                         id.value(),
-                        answer.text(),
+                        response.text(),
                         rating -> {
-                            services.cascades().rated(profile, rated, confidence, rating);
+                            services.cascades()
+                                    .recordRating(profile, ratedVersion, confidence, rating);
                             rollout.ifPresent(
                                     r ->
                                             services.rollouts()
@@ -473,9 +489,9 @@
         ended = true;
         deadlineTimer.cancel(false);
         services.admission().end(team);
-        services.metrics().end(profile.id(), team.id(), outcome, seconds());
+        services.metrics().end(profile.id(), team.id(), outcome, elapsedSeconds());
         if (outcome instanceof Outcome.NotRun && claimed) {
-            giveClaimBack();
+            releaseClaim();
         }
         if (outcome instanceof Outcome.Unknown) {
             EventLog.write(Event.REQUEST_OUTCOME_UNKNOWN, "request", id);
@@ -491,20 +507,20 @@
                 "outcome",
                 outcome.kind());
         if (!(outcome instanceof Outcome.Complete)) {
-            answer.fail(outcome);
+            response.fail(outcome);
         }
     }
 
-    private void giveClaimBack() {
+    private void releaseClaim() {
         services.claims().release(claimKey(), id);
     }
 
-    private double seconds() {
+    private double elapsedSeconds() {
         return (System.nanoTime() - startNanos) / NANOS_PER_SECOND;
     }
 
     private void onLoop(final Runnable action) {
-        Loops.run(
+        EventLoops.run(
                 exchange.eventLoop(),
                 () -> {
                     if (!ended) {
--- a/fennelstage-router/src/main/java/org/fennelstage/route/ChatRequest.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/ChatRequest.java
@@ -12,16 +12,16 @@
 import org.fennelstage.outcome.Reason;
 
 /**
- * What a caller asks of a profile. Immutable and thread-safe but for the JSON nodes, which nobody
- * changes.
+ * A caller's chat request to a profile. Immutable and thread-safe, except for the JSON nodes, which
+ * must not be modified.
  *
  * @param profile the profile
- * @param messages the conversation, passed on as it came
+ * @param messages the conversation, forwarded unchanged
  * @param stream whether the caller wants server-sent events
- * @param maxTokens the bound on generated tokens, 0 if not given
- * @param session the session token, {@code new} to begin one, empty for none
- * @param idempotencyKey the caller's key for a request that may not run twice
- * @param deadline how long the answer is useful, empty if not given
+ * @param maxTokens the maximum number of generated tokens, 0 if not given
+ * @param session the session token, {@code new} to start a session, empty for none
+ * @param idempotencyKey the caller's idempotency key, empty if not given
+ * @param deadline the time from the request's arrival to its deadline, empty if not given
  */
 record ChatRequest(
         ProfileId profile,
@@ -45,21 +45,21 @@
     }
 
     /**
-     * Reads a request.
+     * Parses a request.
      *
      * @param exchange the caller's request
      * @return the request
-     * @throws RefusedException if it is malformed
+     * @throws RejectedException if the request is malformed
      */
-    static ChatRequest parse(final ServerExchange exchange) throws RefusedException {
+    static ChatRequest parse(final ServerExchange exchange) throws RejectedException {
         final JsonNode body = json(exchange.body());
         final JsonNode messages = body.path("messages");
         if (!messages.isArray() || messages.isEmpty()) {
-            throw malformed("'messages' must be a list with at least one message");
+            throw malformed("'messages' must be a non-empty array");
         }
         final JsonNode maxTokens = body.path("max_tokens");
         if (!maxTokens.isMissingNode() && (!maxTokens.isInt() || maxTokens.asInt() < 1)) {
-            throw malformed("'max_tokens' must be a whole number above 0");
+            throw malformed("'max_tokens' must be a positive integer");
         }
         final Optional<String> session = text(body, "session").or(() -> header(exchange, SESSION));
         return new ChatRequest(
@@ -72,16 +72,16 @@
                 deadline(exchange));
     }
 
-    static Optional<String> key(final ServerExchange exchange) throws RefusedException {
+    static Optional<String> key(final ServerExchange exchange) throws RejectedException {
         final Optional<String> key = header(exchange, IDEMPOTENCY_KEY);
         if (key.filter(k -> k.length() > MAX_KEY_LENGTH).isPresent()) {
             throw malformed(
-                    "the idempotency key may have at most " + MAX_KEY_LENGTH + " characters");
+                    "the idempotency key must have at most " + MAX_KEY_LENGTH + " characters");
         }
         return key;
     }
 
-    static Optional<Duration> deadline(final ServerExchange exchange) throws RefusedException {
+    static Optional<Duration> deadline(final ServerExchange exchange) throws RejectedException {
         final Optional<String> text = header(exchange, DEADLINE);
         if (text.isEmpty()) {
             return Optional.empty();
@@ -94,13 +94,13 @@
         } catch (final NumberFormatException e) {
             throw malformed("the header " + DEADLINE + " must be a number of milliseconds");
         }
-        throw malformed("the header " + DEADLINE + " must be above 0");
+        throw malformed("the header " + DEADLINE + " must be positive");
     }
 
-    private static ProfileId profile(final JsonNode body) throws RefusedException {
+    private static ProfileId profile(final JsonNode body) throws RejectedException {
         final Optional<String> name = text(body, "model");
         if (name.isEmpty()) {
-            throw malformed("'model' must name a profile");
+            throw malformed("'model' must be the name of a profile");
         }
         try {
             return ProfileId.of(name.get());
@@ -109,7 +109,7 @@
         }
     }
 
-    private static JsonNode json(final byte[] bytes) throws RefusedException {
+    private static JsonNode json(final byte[] bytes) throws RejectedException {
         try {
             final JsonNode node = Json.mapper().readTree(bytes);
             if (node != null && node.isObject()) {
@@ -130,7 +130,7 @@
         return Optional.ofNullable(exchange.headers().get(name)).filter(v -> !v.isEmpty());
     }
 
-    private static RefusedException malformed(final String detail) {
-        return new RefusedException(Outcome.notRun(Reason.MALFORMED, detail));
+    private static RejectedException malformed(final String detail) {
+        return new RejectedException(Outcome.notRun(Reason.MALFORMED, detail));
     }
 }
--- a/fennelstage-router/src/main/java/org/fennelstage/route/ChatAnswer.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/ChatResponse.java
@@ -16,15 +16,16 @@
 import org.fennelstage.outcome.Outcome;
 
 /**
- * The answer as the caller gets it: a stream of events, or one body at the end.
+ * Writes the response of a chat request to the caller: a stream of server-sent events, or one JSON
+ * body.
  *
- * <p>Invariant: the mark of a whole answer ({@code [DONE]}, or status 200 of a body) is sent only
- * by {@link #finish}. Confined to the request's event loop.
+ * <p>Invariant: the marker of a complete response ({@code [DONE]}, or status 200 of a body) is sent
+ * only by {@link #finish}. Not thread-safe; confined to the event loop.
  */
-final class ChatAnswer {
+final class ChatResponse {
 
-    private static final String EXPLAIN = "x-explain";
-    private static final double UNKNOWN_CONFIDENCE = 0.5;
+    private static final String EXPLAIN_HEADER = "x-explain";
+    private static final double DEFAULT_CONFIDENCE = 0.5;
 
     private final ServerExchange exchange;
     private final RequestId request;
@@ -32,13 +33,13 @@
     private final boolean stream;
     private final StringBuilder text = new StringBuilder();
     private final Map<String, String> headers = new HashMap<>();
-    private boolean begun;
-    private boolean held;
-    private double confidence = UNKNOWN_CONFIDENCE;
+    private boolean started;
+    private boolean buffering;
+    private double confidence = DEFAULT_CONFIDENCE;
     private int tokens;
     private String finishReason = "";
 
-    ChatAnswer(
+    ChatResponse(
             final ServerExchange exchange,
             final RequestId request,
             final ProfileId profile,
@@ -50,50 +51,51 @@
         headers.put(OutcomeResponse.REQUEST_ID, request.value());
     }
 
-    void onChosen(
+    void onServerChosen(
             final VersionId version,
             final BackendServerId server,
-            final String why,
+            final String reason,
             final boolean explain) {
         if (explain) {
-            headers.put(EXPLAIN, "version=" + version + " server=" + server + " why=" + why);
+            headers.put(
+                    EXPLAIN_HEADER, "version=" + version + " server=" + server + " why=" + reason);
         }
     }
 
-    /** Keeps chunks back from the caller until the answer is accepted or dropped. */
-    void hold() {
-        held = true;
+    /** Buffers chunks until the answer is released or discarded. */
+    void startBuffering() {
+        buffering = true;
     }
 
-    boolean isHeld() {
-        return held;
+    boolean isBuffering() {
+        return buffering;
     }
 
-    /** Lets the caller have the answer that was held. */
-    void accept() {
-        held = false;
+    /** Ends buffering and sends the buffered answer to the caller. */
+    void releaseBuffered() {
+        buffering = false;
         begin();
         if (stream && text.length() > 0) {
-            event(chunk(text.toString(), null));
+            writeEvent(chunk(text.toString(), null));
         }
     }
 
-    /** Forgets the answer that was held; another one follows. */
-    void drop() {
-        held = false;
+    /** Discards the buffered answer before another one is generated. */
+    void discardBuffered() {
+        buffering = false;
         text.setLength(0);
         tokens = 0;
         finishReason = "";
-        confidence = UNKNOWN_CONFIDENCE;
+        confidence = DEFAULT_CONFIDENCE;
     }
 
-    /** Returns the engine's confidence in its answer; one half if it gave none. */
+    /** Returns the model's confidence in its answer, in [0, 1]; 0.5 if it reported none. */
     double confidence() {
         return confidence;
     }
 
-    boolean hasBegun() {
-        return begun;
+    boolean hasStarted() {
+        return started;
     }
 
     int tokens() {
@@ -108,8 +110,8 @@
         return finishReason.equals("length");
     }
 
-    /** Takes one chunk of the backend server. */
-    void add(final JsonNode chunk) {
+    /** Adds one chunk of the backend server's response. */
+    void addChunk(final JsonNode chunk) {
         final JsonNode choice = chunk.path("choices").path(0);
         final String content = choice.path("delta").path("content").asText("");
         if (choice.path("finish_reason").isTextual()) {
@@ -118,19 +120,19 @@
         tokens = chunk.path("usage").path("completion_tokens").asInt(tokens);
         confidence = chunk.path("usage").path("confidence").asDouble(confidence);
         text.append(content);
-        if (held) {
+        if (buffering) {
             return;
         }
         begin();
         if (stream && !content.isEmpty()) {
-            event(chunk(content, null));
+            writeEvent(chunk(content, null));
         }
     }
 
     /**
-     * Ends the whole answer.
+     * Ends a complete response.
      *
-     * @param session the token of the session, if there is one
+     * @param session the session token, empty if there is no session
      */
     void finish(final Optional<String> session) {
         if (!stream) {
@@ -139,21 +141,21 @@
         }
         final ObjectNode last = chunk("", finishReason);
         last.putObject("usage").put("completion_tokens", tokens);
-        notes(last, session);
-        event(last);
-        write("[DONE]");
+        addMetadata(last, session);
+        writeEvent(last);
+        writeData("[DONE]");
         exchange.end();
     }
 
     /**
-     * Tells the caller of any other outcome. A stream that has begun gets an error event and no
-     * mark of a whole answer.
+     * Ends the response with any other outcome. A stream that has started gets an error event and
+     * no marker of a complete response.
      *
      * @param outcome the outcome
      */
     void fail(final Outcome outcome) {
-        if (stream && begun) {
-            event(OutcomeResponse.body(request, outcome));
+        if (stream && started) {
+            writeEvent(OutcomeResponse.body(request, outcome));
             exchange.end();
         } else {
             OutcomeResponse.send(exchange, request, outcome);
@@ -161,10 +163,10 @@
     }
 
     private void begin() {
-        if (begun) {
+        if (started) {
             return;
         }
-        begun = true;
+        started = true;
         if (stream) {
             headers.put("content-type", "text/event-stream");
             headers.put("cache-control", "no-store");
@@ -179,18 +181,18 @@
         choice.putObject("message").put("role", "assistant").put("content", text.toString());
         choice.put("finish_reason", finishReason);
         body.putObject("usage").put("completion_tokens", tokens);
-        notes(body, session);
+        addMetadata(body, session);
         headers.put("content-type", "application/json");
         headers.put(OutcomeResponse.OUTCOME, new Outcome.Complete().kind());
         session.ifPresent(t -> headers.put(ChatRequest.SESSION, t));
         exchange.respond(OutcomeResponse.status(new Outcome.Complete()), headers, Json.write(body));
     }
 
-    private void notes(final ObjectNode body, final Optional<String> session) {
-        final ObjectNode notes = body.putObject("fennelstage");
-        notes.put("outcome", new Outcome.Complete().kind());
-        notes.put("request", request.value());
-        session.ifPresent(t -> notes.put("session", t));
+    private void addMetadata(final ObjectNode body, final Optional<String> session) {
+        final ObjectNode metadata = body.putObject("fennelstage");
+        metadata.put("outcome", new Outcome.Complete().kind());
+        metadata.put("request", request.value());
+        session.ifPresent(t -> metadata.put("session", t));
     }
 
     private ObjectNode chunk(final String content, final String reason) {
@@ -210,11 +212,11 @@
         return body;
     }
 
-    private void event(final ObjectNode body) {
-        write(body.toString());
+    private void writeEvent(final ObjectNode body) {
+        writeData(body.toString());
     }
 
-    private void write(final String data) {
+    private void writeData(final String data) {
         exchange.write(Unpooled.copiedBuffer("data: " + data + "\n\n", StandardCharsets.UTF_8));
     }
 }
--- a/fennelstage-router/src/main/java/org/fennelstage/route/Loops.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/EventLoops.java
@@ -2,12 +2,14 @@
 
 import io.netty.channel.EventLoop;
 
-/** Brings the ends of futures back to a request's event loop. Stateless and thread-safe. */
-final class Loops {
+/** Runs actions on event loops. Stateless and thread-safe. */
+final class EventLoops {
 
-    private Loops() {}
+    private EventLoops() {}
 
-    /** Runs an action on a loop: at once if this is the loop's own thread, else soon. */
+    /**
+     * Runs an action on a loop: immediately if called from the loop's thread, else asynchronously.
+     */
     static void run(final EventLoop loop, final Runnable action) {
         if (loop.inEventLoop()) {
             action.run();
--- a/fennelstage-router/src/main/java/org/fennelstage/route/OutcomeResponse.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/OutcomeResponse.java
@@ -11,8 +11,8 @@
 import org.fennelstage.outcome.Outcome;
 
 /**
- * The one place that turns an outcome other than a whole answer into HTTP: status, {@code
- * Retry-After} and a body for machines. Stateless and thread-safe.
+ * Converts outcomes to HTTP: the status, and for outcomes other than a complete response the {@code
+ * Retry-After} header and a JSON body. Stateless and thread-safe.
  */
 final class OutcomeResponse {
 
@@ -26,8 +26,8 @@
     private OutcomeResponse() {}
 
     static int status(final Outcome outcome) {
-        if (outcome instanceof Outcome.NotRun refused) {
-            return refused.reason().status();
+        if (outcome instanceof Outcome.NotRun notRun) {
+            return notRun.reason().status();
         }
         if (outcome instanceof Outcome.Unknown) {
             return UNKNOWN_STATUS;
@@ -50,9 +50,9 @@
         final ObjectNode error = body.putObject("error");
         error.put("outcome", outcome.kind());
         error.put("request", request.value());
-        if (outcome instanceof Outcome.NotRun refused) {
-            error.put("reason", refused.reason().code());
-            error.put("message", refused.detail());
+        if (outcome instanceof Outcome.NotRun notRun) {
+            error.put("reason", notRun.reason().code());
+            error.put("message", notRun.detail());
             retryAfter(outcome).ifPresent(s -> error.put("retry_after", s));
         } else if (outcome instanceof Outcome.Unknown unknown) {
             error.put("message", unknown.detail());
@@ -63,10 +63,10 @@
     }
 
     private static Optional<Long> retryAfter(final Outcome outcome) {
-        if (!(outcome instanceof Outcome.NotRun refused)) {
+        if (!(outcome instanceof Outcome.NotRun notRun)) {
             return Optional.empty();
         }
-        return refused.retryAfter().map(OutcomeResponse::wholeSeconds);
+        return notRun.retryAfter().map(OutcomeResponse::wholeSeconds);
     }
 
     private static long wholeSeconds(final Duration duration) {
--- a/fennelstage-router/src/main/java/org/fennelstage/route/Placement.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/Placement.java
@@ -9,74 +9,85 @@
 import org.fennelstage.control.LoadLedger;
 
 /**
- * Finds a server with a free slot for one request: asks the ledger for each candidate in turn, the
- * one whose cache most likely holds the prompt's prefix first. If none has a free slot the request
- * queues at the one with the fewest.
+ * Finds a backend server with a free slot for one request: tries to reserve a slot at each
+ * candidate in the given order. If none has a free slot, the request goes to the candidate with the
+ * lowest load per slot.
  *
- * <p>A keeper that does not answer is taken for a yes if this VM itself has a slot's worth free
- * there, so that a lost message costs a few milliseconds and no request. Confined to one event
+ * <p>If the ledger does not respond, a slot counts as reserved if this VM's own requests leave one
+ * free, so that a lost message does not fail the request. Not thread-safe; confined to the event
  * loop.
  */
 final class Placement {
 
     private final LoadLedger ledger;
-    private final WorkerTable workers;
+    private final ServerStateTable serverStates;
     private final EventLoop eventLoop;
     private final List<BackendServer> candidates;
     private final Consumer<Optional<BackendServer>> onPlaced;
     private int next;
     private BackendServer leastLoaded;
-    private double least = Double.POSITIVE_INFINITY;
+    private double minLoad = Double.POSITIVE_INFINITY;
 
     Placement(
             final LoadLedger ledger,
-            final WorkerTable workers,
+            final ServerStateTable serverStates,
             final EventLoop eventLoop,
             final List<BackendServer> candidates,
             final Consumer<Optional<BackendServer>> onPlaced) {
         this.ledger = ledger;
-        this.workers = workers;
+        this.serverStates = serverStates;
         this.eventLoop = eventLoop;
         this.candidates = candidates;
         this.onPlaced = onPlaced;
     }
 
-    /** Begins; the server in the end is counted as having one more request of this VM. */
+    /**
+     * Starts the search. The number of requests in flight at the chosen server includes this one
+     * when the callback is called.
+     */
     void start() {
         if (next < candidates.size()) {
-            ask(candidates.get(next), false);
+            reserve(candidates.get(next), false);
         } else if (leastLoaded != null) {
-            ask(leastLoaded, true);
+            reserve(leastLoaded, true);
         } else {
             onPlaced.accept(Optional.empty());
         }
     }
 
-    private void ask(final BackendServer server, final boolean force) {
-        // Counted before the question, so that two requests of this VM that ask at the same time
-        // state different counts.
-        final int own = workers.state(server.id()).inFlight().getAndIncrement();
-        ledger.reserve(server.id(), server.slots(), own, force)
+    private void reserve(final BackendServer server, final boolean force) {
+        // Incremented before the call, so that concurrent requests of this VM send different
+        // counts.
+        final int ownInFlight = serverStates.state(server.id()).inFlight().getAndIncrement();
+        ledger.reserve(server.id(), server.slots(), ownInFlight, force)
                 .thenAccept(
-                        answer -> Loops.run(eventLoop, () -> onAnswer(server, own, force, answer)));
+                        reservation ->
+                                EventLoops.run(
+                                        eventLoop,
+                                        () ->
+                                                onReservation(
+                                                        server, ownInFlight, force, reservation)));
     }
 
-    private void onAnswer(
+    private void onReservation(
             final BackendServer server,
-            final int own,
+            final int ownInFlight,
             final boolean force,
-            final Optional<SlotLedger.Reservation> answer) {
+            final Optional<SlotLedger.Reservation> reservation) {
         final boolean granted =
-                answer.map(SlotLedger.Reservation::granted).orElse(own < server.slots());
+                reservation
+                        .map(SlotLedger.Reservation::granted)
+                        .orElse(ownInFlight < server.slots());
         if (granted || force) {
             onPlaced.accept(Optional.of(server));
             return;
         }
-        workers.state(server.id()).inFlight().decrementAndGet();
+        serverStates.state(server.id()).inFlight().decrementAndGet();
         final double load =
-                (double) answer.map(SlotLedger.Reservation::running).orElse(own) / server.slots();
-        if (load < least) {
-            least = load;
+                (double) reservation.map(SlotLedger.Reservation::running).orElse(ownInFlight)
+                        / server.slots();
+        if (load < minLoad) {
+            minLoad = load;
             leastLoaded = server;
         }
         next++;
--- a/fennelstage-router/src/main/java/org/fennelstage/route/Ratings.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/RatingClient.java
@@ -16,35 +16,35 @@
 import org.fennelstage.objects.Json;
 
 /**
- * Sends a sample of answers to the rating service. What does not come back is not rated; nothing
- * waits for it. Thread-safe.
+ * Sends a sample of answers to the rating service asynchronously. Failed calls are ignored.
+ * Thread-safe.
  */
-final class Ratings {
+final class RatingClient {
 
-    private static final int OK = 200;
+    private static final int STATUS_OK = 200;
 
     private final Optional<InetSocketAddress> address;
-    private final double share;
+    private final double sampleShare;
 
-    Ratings(final Optional<InetSocketAddress> address, final double share) {
+    RatingClient(final Optional<InetSocketAddress> address, final double sampleShare) {
         this.address = address;
-        this.share = share;
+        this.sampleShare = sampleShare;
     }
 
     /**
-     * Has an answer rated if it falls into the sample.
+     * Requests a rating of an answer if the request belongs to the sample.
      *
-     * @param client makes the call
-     * @param request the request's id, which decides on the sample
+     * @param client the HTTP client
+     * @param request the request id, whose hash decides whether it belongs to the sample
      * @param answer the answer
-     * @param onRating takes the rating, in [0, 1]
+     * @param onRating called with the rating, in [0, 1]
      */
     void rate(
             final HttpClient client,
             final String request,
             final String answer,
             final DoubleConsumer onRating) {
-        if (address.isEmpty() || fraction(request) >= share) {
+        if (address.isEmpty() || sampleFraction(request) >= sampleShare) {
             return;
         }
         client.send(
@@ -55,25 +55,25 @@
                         "/v1/ratings",
                         Unpooled.copiedBuffer(answer, StandardCharsets.UTF_8)),
                 CallOptions.DEFAULT,
-                Responses.collecting(whole -> onWhole(whole, onRating), failure -> {}));
+                Responses.collecting(response -> onResponse(response, onRating), failure -> {}));
     }
 
-    /** Returns a number in [0, 1) that depends on the request alone. */
-    static double fraction(final String request) {
-        return (Rendezvous.weight("sample", request) >>> 11) * 0x1.0p-53;
+    /** Returns a hash of the key as a number in [0, 1). */
+    static double sampleFraction(final String key) {
+        return (Rendezvous.weight("sample", key) >>> 11) * 0x1.0p-53;
     }
 
-    private static void onWhole(final Responses.Whole whole, final DoubleConsumer onRating) {
-        if (whole.status() != OK) {
+    private static void onResponse(final Responses.Whole response, final DoubleConsumer onRating) {
+        if (response.status() != STATUS_OK) {
             return;
         }
         try {
-            final var rating = Json.mapper().readTree(whole.body()).path("rating");
+            final var rating = Json.mapper().readTree(response.body()).path("rating");
             if (rating.isNumber()) {
                 onRating.accept(rating.asDouble());
             }
         } catch (final IOException e) {
-            // An unreadable rating counts as none.
+            // An invalid rating is ignored.
             return;
         }
     }
--- a/fennelstage-router/src/main/java/org/fennelstage/route/Router.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/Router.java
@@ -23,7 +23,7 @@
 import org.fennelstage.request.RequestIds;
 import org.fennelstage.request.RetryBudget;
 
-/** Serves callers on one VM. Thread-safe. */
+/** Routes callers' requests on one VM to backend servers. Thread-safe. */
 public final class Router implements RequestHandler {
 
     private static final double RETRY_SHARE = 0.1;
@@ -33,21 +33,21 @@
     private final DataCentreId dataCentre;
     private final CallerApi api;
     private final LoadLedger ledger;
-    private final Map<EventLoop, LoopContext> loops = new ConcurrentHashMap<>();
+    private final Map<EventLoop, EventLoopContext> loopContexts = new ConcurrentHashMap<>();
     private volatile boolean draining;
 
     /**
-     * What a router works with.
+     * The components that a router uses.
      *
-     * @param configuration what is in force
+     * @param configuration returns the current configuration
      * @param clock the clock
-     * @param ids makes request ids
-     * @param claims for requests that may not run twice
-     * @param bills takes what requests cost
-     * @param rollouts the roll-outs
-     * @param metrics counts
-     * @param duties reaches other VMs
-     * @param timer runs reports
+     * @param ids generates request ids
+     * @param claims claims the idempotency keys of non-idempotent requests
+     * @param bills records the cost of requests
+     * @param rollouts the state of rollouts
+     * @param metrics the metrics of this VM
+     * @param duties sends messages to the VMs responsible for shared state
+     * @param timer schedules periodic load reports
      */
     public record Dependencies(
             Supplier<Configuration> configuration,
@@ -63,21 +63,22 @@
     /**
      * Creates a router.
      *
-     * @param dependencies what it works with
-     * @param dataCentre where it stands
-     * @param vms tells how many VMs share a team's rate
+     * @param dependencies the components to use
+     * @param dataCentre the data centre of this VM
+     * @param vmCount returns the number of VMs that share a team's rate limit
      * @param rating the rating service, empty if there is none
-     * @param ratedShare the share of answers sent to it
+     * @param ratedShare the share of answers sent to the rating service, in [0, 1]
      */
     public Router(
             final Dependencies dependencies,
             final DataCentreId dataCentre,
-            final IntSupplier vms,
+            final IntSupplier vmCount,
             final Optional<InetSocketAddress> rating,
             final double ratedShare) {
         this.dataCentre = Objects.requireNonNull(dataCentre, "dataCentre is null");
-        final WorkerTable workers = new WorkerTable(dependencies.clock());
-        this.ledger = new LoadLedger(dependencies.duties(), workers::loads, dependencies.timer());
+        final ServerStateTable serverStates = new ServerStateTable(dependencies.clock());
+        this.ledger =
+                new LoadLedger(dependencies.duties(), serverStates::loads, dependencies.timer());
         this.services =
                 new Services(
                         dependencies.configuration(),
@@ -86,11 +87,11 @@
                         dependencies.claims(),
                         dependencies.bills(),
                         dependencies.rollouts(),
-                        new Admission(dependencies.clock(), vms),
-                        workers,
+                        new Admission(dependencies.clock(), vmCount),
+                        serverStates,
                         ledger,
                         new Cascades(dependencies.rollouts()),
-                        new Ratings(rating, ratedShare),
+                        new RatingClient(rating, ratedShare),
                         RetryBudget.of(RETRY_SHARE, RETRY_RESERVE),
                         dependencies.metrics());
         this.api = new CallerApi(services, this::loop, () -> draining);
@@ -102,7 +103,7 @@
     }
 
     /**
-     * Returns the count of requests at backend servers, which other VMs send messages to.
+     * Returns the ledger of requests at backend servers, which handles messages of other VMs.
      *
      * @return the ledger
      */
@@ -110,13 +111,13 @@
         return ledger;
     }
 
-    /** Refuses new requests from now on; those in flight go on. */
+    /** Rejects new requests from now on; requests in flight continue. */
     public void drain() {
         draining = true;
     }
 
     /**
-     * Returns how many requests are admitted and not ended.
+     * Returns the number of requests in flight.
      *
      * @return the count
      */
@@ -124,14 +125,14 @@
         return services.admission().inFlight();
     }
 
-    private LoopContext loop(final EventLoop eventLoop) {
-        return loops.computeIfAbsent(
+    private EventLoopContext loop(final EventLoop eventLoop) {
+        return loopContexts.computeIfAbsent(
                 eventLoop,
                 e ->
-                        new LoopContext(
+                        new EventLoopContext(
                                 new HttpClient(e),
                                 dataCentre,
-                                services.workers(),
+                                services.serverStates(),
                                 System.identityHashCode(e)));
     }
 }
--- a/fennelstage-router/src/main/java/org/fennelstage/route/RouterMetrics.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/RouterMetrics.java
@@ -12,7 +12,7 @@
 import org.fennelstage.id.VersionId;
 import org.fennelstage.outcome.Outcome;
 
-/** The metrics of one VM, for Prometheus. Thread-safe. */
+/** The Prometheus metrics of one VM. Thread-safe. */
 public final class RouterMetrics {
 
     private final PrometheusRegistry registry = new PrometheusRegistry();
@@ -22,7 +22,7 @@
                     .help("Requests by profile, team and outcome")
                     .labelNames("profile", "team", "outcome")
                     .register(registry);
-    private final Counter refusals =
+    private final Counter rejections =
             Counter.builder()
                     .name("fennelstage_refusals_total")
                     .help("Refused requests by reason")
@@ -46,7 +46,7 @@
                     .labelNames("profile")
                     .classicUpperBounds(0.05, 0.1, 0.2, 0.4, 0.8, 1.3, 2, 4, 8, 16)
                     .register(registry);
-    private final Histogram answer =
+    private final Histogram responseTime =
             Histogram.builder()
                     .name("fennelstage_answer_seconds")
                     .help("Time to the whole answer by profile")
@@ -60,11 +60,11 @@
                     .register(registry);
 
     /**
-     * Adds a gauge that is read when scraped.
+     * Registers a gauge whose value is read at each scrape.
      *
-     * @param name its name
-     * @param help what it says
-     * @param value reads it
+     * @param name the metric name
+     * @param help the help text
+     * @param value returns the value
      */
     public void gauge(final String name, final String help, final DoubleSupplier value) {
         GaugeWithCallback.builder()
@@ -85,10 +85,10 @@
             final double seconds) {
         inFlight.dec();
         requests.labelValues(profile.value(), team.value(), outcome.kind()).inc();
-        if (outcome instanceof Outcome.NotRun refused) {
-            refusals.labelValues(refused.reason().code()).inc();
+        if (outcome instanceof Outcome.NotRun notRun) {
+            rejections.labelValues(notRun.reason().code()).inc();
         } else if (outcome instanceof Outcome.Complete) {
-            answer.labelValues(profile.value()).observe(seconds);
+            responseTime.labelValues(profile.value()).observe(seconds);
         }
     }
 
@@ -105,9 +105,9 @@
     }
 
     /**
-     * Returns all metrics in Prometheus' text form.
+     * Returns all metrics in the Prometheus text format.
      *
-     * @return the text
+     * @return the encoded text
      */
     public byte[] scrape() {
         return MetricsText.of(registry);
--- a/fennelstage-router/src/main/java/org/fennelstage/route/ServerEvents.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/ServerSentEventParser.java
@@ -6,18 +6,18 @@
 import java.util.function.Consumer;
 
 /**
- * Splits a stream of server-sent events into the data of each event. Only {@code data} lines count,
- * as engines send no others. Not thread-safe.
+ * Parses a stream of server-sent events. Each {@code data} line is delivered as an event of its
+ * own; other fields are ignored, and lines are truncated at a maximum length. Not thread-safe.
  */
-final class ServerEvents {
+final class ServerSentEventParser {
 
-    private static final String DATA = "data:";
-    private static final int MAX_LINE = 1024 * 1024;
+    private static final String DATA_FIELD = "data:";
+    private static final int MAX_LINE_BYTES = 1024 * 1024;
 
     private final Consumer<String> onData;
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
 
-    ServerEvents(final Consumer<String> onData) {
+    ServerSentEventParser(final Consumer<String> onData) {
         this.onData = onData;
     }
 
@@ -26,7 +26,7 @@
             final byte next = bytes.readByte();
             if (next == '\n') {
                 endLine();
-            } else if (line.size() < MAX_LINE) {
+            } else if (line.size() < MAX_LINE_BYTES) {
                 line.write(next);
             }
         }
@@ -35,8 +35,8 @@
     private void endLine() {
         final String text = line.toString(StandardCharsets.UTF_8).trim();
         line.reset();
-        if (text.startsWith(DATA)) {
-            onData.accept(text.substring(DATA.length()).trim());
+        if (text.startsWith(DATA_FIELD)) {
+            onData.accept(text.substring(DATA_FIELD.length()).trim());
         }
     }
 }
--- a/fennelstage-router/src/main/java/org/fennelstage/route/WorkerState.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/ServerState.java
@@ -4,13 +4,15 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.fennelstage.backend.Breaker;
 
-/** What this VM knows of one backend server. Thread-safe. */
-final class WorkerState {
+/**
+ * This VM's requests in flight at one backend server and the server's circuit breaker. Thread-safe.
+ */
+final class ServerState {
 
     private final AtomicInteger inFlight = new AtomicInteger();
     private final Breaker breaker;
 
-    WorkerState(final InstantSource clock) {
+    ServerState(final InstantSource clock) {
         this.breaker = Breaker.of(clock);
     }
 
--- a/fennelstage-router/src/main/java/org/fennelstage/route/WorkerTable.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/ServerStateTable.java
@@ -7,21 +7,23 @@
 import java.util.concurrent.ConcurrentHashMap;
 import org.fennelstage.id.BackendServerId;
 
-/** What this VM knows of all backend servers it has used. Thread-safe. */
-final class WorkerTable {
+/** The states of all backend servers that this VM has used. Thread-safe. */
+final class ServerStateTable {
 
     private final InstantSource clock;
-    private final Map<BackendServerId, WorkerState> states = new ConcurrentHashMap<>();
+    private final Map<BackendServerId, ServerState> states = new ConcurrentHashMap<>();
 
-    WorkerTable(final InstantSource clock) {
+    ServerStateTable(final InstantSource clock) {
         this.clock = Objects.requireNonNull(clock, "clock is null");
     }
 
-    WorkerState state(final BackendServerId server) {
-        return states.computeIfAbsent(server, s -> new WorkerState(clock));
+    ServerState state(final BackendServerId server) {
+        return states.computeIfAbsent(server, s -> new ServerState(clock));
     }
 
-    /** Returns how many requests this VM has at each server where it has any. */
+    /**
+     * Returns the number of this VM's requests in flight by server, without servers that have none.
+     */
     Map<BackendServerId, Integer> loads() {
         final Map<BackendServerId, Integer> loads = new HashMap<>();
         states.forEach(
--- a/fennelstage-router/src/main/java/org/fennelstage/route/ServiceRun.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/ServiceExecution.java
@@ -27,21 +27,23 @@
 import org.fennelstage.team.Team;
 
 /**
- * One request to a plain service, passed on with the caller's method and body.
+ * Executes one request to a service, forwarding the caller's method and body.
  *
- * <p>Invariants: a request whose method is not idempotent is sent at most once; with a key it runs
- * at most once over all VMs. Confined to the event loop of the caller's connection.
+ * <p>Invariants: a request whose method is not idempotent is sent at most once; with an idempotency
+ * key it runs at most once across all VMs. Not thread-safe; confined to the event loop of the
+ * caller's connection.
  */
-final class ServiceRun {
+final class ServiceExecution {
 
-    private static final Set<String> IDEMPOTENT = Set.of("GET", "HEAD", "OPTIONS", "PUT", "DELETE");
-    private static final List<String> PASSED_HEADERS =
+    private static final Set<String> IDEMPOTENT_METHODS =
+            Set.of("GET", "HEAD", "OPTIONS", "PUT", "DELETE");
+    private static final List<String> FORWARDED_HEADERS =
             List.of("content-type", "accept", "traceparent", "idempotency-key");
-    private static final Duration SILENCE = Duration.ofSeconds(30);
-    private static final Duration RETRY = Duration.ofSeconds(2);
+    private static final Duration INACTIVITY_TIMEOUT = Duration.ofSeconds(30);
+    private static final Duration RETRY_AFTER = Duration.ofSeconds(2);
 
     private final Services services;
-    private final LoopContext loop;
+    private final EventLoopContext loopContext;
     private final ServerExchange exchange;
     private final Team team;
     private final ServiceName service;
@@ -51,12 +53,12 @@
     private final Attempts attempts;
     private final boolean idempotent;
     private boolean claimed;
-    private boolean begun;
+    private boolean started;
     private boolean ended;
 
-    ServiceRun(
+    ServiceExecution(
             final Services services,
-            final LoopContext loop,
+            final EventLoopContext loopContext,
             final ServerExchange exchange,
             final Team team,
             final ServiceName service,
@@ -64,19 +66,21 @@
             final Optional<String> key,
             final RequestId id) {
         this.services = services;
-        this.loop = loop;
+        this.loopContext = loopContext;
         this.exchange = exchange;
         this.team = team;
         this.service = service;
         this.target = target;
         this.key = key;
         this.id = id;
-        this.attempts = new Attempts(services.workers(), loop.client(), (server, left) -> {});
-        this.idempotent = IDEMPOTENT.contains(exchange.method());
+        this.attempts =
+                new Attempts(
+                        services.serverStates(), loopContext.client(), (server, inFlight) -> {});
+        this.idempotent = IDEMPOTENT_METHODS.contains(exchange.method());
     }
 
     void start() {
-        exchange.onClosed(this::onCallerGone);
+        exchange.onClosed(this::onCallerDisconnected);
         if (ended) {
             return;
         }
@@ -87,43 +91,43 @@
         }
         services.claims()
                 .take(claimKey(), id)
-                .thenAccept(answer -> Loops.run(exchange.eventLoop(), () -> onClaim(answer)));
+                .thenAccept(result -> EventLoops.run(exchange.eventLoop(), () -> onClaim(result)));
     }
 
-    private void onClaim(final ClaimAnswer answer) {
-        if (answer instanceof ClaimAnswer.Refused refused) {
-            end(Duplicates.outcome(refused.held()));
+    private void onClaim(final ClaimAnswer result) {
+        if (result instanceof ClaimAnswer.Refused duplicate) {
+            end(DuplicateRequests.outcome(duplicate.held()));
             return;
         }
         claimed = true;
         if (ended) {
             services.claims().release(claimKey(), id);
-        } else if (answer instanceof ClaimAnswer.Unavailable unavailable) {
-            end(Outcome.notRun(Reason.CLAIM_UNAVAILABLE, unavailable.detail(), RETRY));
+        } else if (result instanceof ClaimAnswer.Unavailable unavailable) {
+            end(Outcome.notRun(Reason.CLAIM_UNAVAILABLE, unavailable.detail(), RETRY_AFTER));
         } else {
             dispatch();
         }
     }
 
     private void dispatch() {
-        final Configuration now = services.configuration().get();
+        final Configuration latest = services.configuration().get();
         final Optional<BackendServer> server =
                 attempts.send(
-                        loop.pool(now, service),
-                        loop.forServices(),
+                        loopContext.pool(latest, service),
+                        loopContext.serviceSelector(),
                         0,
-                        Attempts.options(SILENCE, idempotent),
+                        Attempts.options(INACTIVITY_TIMEOUT, idempotent),
                         this::backendRequest,
                         new Listener());
         if (server.isEmpty()) {
-            end(notRunOrUnknown("no server of " + service));
+            end(notRunOrUnknown("no backend server available for service " + service));
         }
     }
 
     private Outcome notRunOrUnknown(final String detail) {
         return attempts.mayHaveRun()
                 ? new Outcome.Unknown(detail + "; an earlier attempt may have run")
-                : Outcome.notRun(Reason.NO_BACKEND, detail, RETRY);
+                : Outcome.notRun(Reason.NO_BACKEND, detail, RETRY_AFTER);
     }
 
     private FullHttpRequest backendRequest() {
@@ -133,7 +137,7 @@
                         HttpMethod.valueOf(exchange.method()),
                         target,
                         Unpooled.wrappedBuffer(exchange.body()));
-        for (final String name : PASSED_HEADERS) {
+        for (final String name : FORWARDED_HEADERS) {
             final String value = exchange.headers().get(name);
             if (value != null) {
                 message.headers().set(name, value);
@@ -146,20 +150,20 @@
     private void onFailure(final CallFailure failure) {
         attempts.onFailure(failure);
         final boolean notSent = failure.phase() == CallFailure.Phase.NOT_SENT;
-        final boolean repeatable = notSent || (idempotent && !begun);
-        if (repeatable && attempts.mayTryAgain() && services.retries().tryRetry()) {
+        final boolean retryable = notSent || (idempotent && !started);
+        if (retryable && attempts.mayRetry() && services.retries().tryRetry()) {
             services.metrics().retried();
             dispatch();
         } else if (notSent) {
             end(notRunOrUnknown(failure.detail()));
         } else {
-            end(new Outcome.Unknown("the service gave no whole answer: " + failure.detail()));
+            end(new Outcome.Unknown("the service sent no complete response: " + failure.detail()));
         }
     }
 
-    private void onCallerGone() {
+    private void onCallerDisconnected() {
         attempts.cancel();
-        end(new Outcome.Unknown("the caller went away"));
+        end(new Outcome.Unknown("the caller closed the connection"));
     }
 
     private void end(final Outcome outcome) {
@@ -175,7 +179,7 @@
         }
         if (outcome instanceof Outcome.Complete) {
             exchange.end();
-        } else if (begun) {
+        } else if (started) {
             exchange.abort();
         } else {
             OutcomeResponse.send(exchange, id, outcome);
@@ -190,15 +194,15 @@
 
         @Override
         public void onHead(final int status, final HttpHeaders headers) {
-            attempts.onAnswer();
-            begun = true;
-            final Map<String, String> passed = new HashMap<>();
-            passed.put(OutcomeResponse.REQUEST_ID, id.value());
+            attempts.onResponse();
+            started = true;
+            final Map<String, String> forwarded = new HashMap<>();
+            forwarded.put(OutcomeResponse.REQUEST_ID, id.value());
             final String type = headers.get("content-type");
             if (type != null) {
-                passed.put("content-type", type);
+                forwarded.put("content-type", type);
             }
-            exchange.begin(status, passed);
+            exchange.begin(status, forwarded);
         }
 
         @Override
@@ -217,7 +221,7 @@
 
         @Override
         public void onFailure(final CallFailure failure) {
-            ServiceRun.this.onFailure(failure);
+            ServiceExecution.this.onFailure(failure);
         }
     }
 }
--- a/fennelstage-router/src/main/java/org/fennelstage/route/Services.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/Services.java
@@ -11,21 +11,21 @@
 import org.fennelstage.request.RetryBudget;
 
 /**
- * What every request works with. All parts are thread-safe.
+ * The components shared by all requests of this VM. Immutable; all components are thread-safe.
  *
- * @param configuration what is in force
+ * @param configuration returns the current configuration
  * @param clock the clock
- * @param ids makes request ids
- * @param claims for requests that may not run twice
- * @param bills takes what requests cost
- * @param rollouts the roll-outs
- * @param admission the teams' limits
- * @param workers what is known of backend servers
- * @param ledger counts the requests of all VMs at backend servers
- * @param cascades chooses models
- * @param ratings has answers rated
- * @param retries bounds retries
- * @param metrics counts
+ * @param ids generates request ids
+ * @param claims claims the idempotency keys of non-idempotent requests
+ * @param bills records the cost of requests
+ * @param rollouts the state of rollouts
+ * @param admission enforces the teams' limits
+ * @param serverStates the states of the backend servers
+ * @param ledger reserves slots of backend servers across VMs
+ * @param cascades selects models
+ * @param ratings requests ratings of answers
+ * @param retries the retry budget
+ * @param metrics the metrics of this VM
  */
 record Services(
         Supplier<Configuration> configuration,
@@ -35,9 +35,9 @@
         Bills bills,
         Rollouts rollouts,
         Admission admission,
-        WorkerTable workers,
+        ServerStateTable serverStates,
         LoadLedger ledger,
         Cascades cascades,
-        Ratings ratings,
+        RatingClient ratings,
         RetryBudget retries,
         RouterMetrics metrics) {}
--- a/fennelstage-router/src/main/java/org/fennelstage/route/SessionIssue.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/SessionTokenIssuer.java
@@ -9,14 +9,15 @@
 import org.fennelstage.session.SessionTokens;
 import org.fennelstage.team.Team;
 
-/** Makes the token that an answer carries for its session. Stateless and thread-safe. */
-final class SessionIssue {
+/** Creates the session tokens that are sent with responses. Stateless and thread-safe. */
+final class SessionTokenIssuer {
 
-    private SessionIssue() {}
+    private SessionTokenIssuer() {}
 
     /**
-     * Returns the token for the next request of the session: a new one if a session begins, and one
-     * signed by the current key if it goes on, so that sessions outlive key rotation.
+     * Returns the token for the next request of the session, empty if there is no session. The
+     * token of an existing session is signed again with the current key, so that sessions survive
+     * key rotation.
      */
     static Optional<String> token(
             final KeyRing keys,
--- a/fennelstage-router/src/main/java/org/fennelstage/route/package-info.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/package-info.java
@@ -1,9 +1,8 @@
 /**
- * The way of a request: from the caller through authentication, admission and the choice of version
- * and worker to a backend server, and of the answer back.
+ * Request routing: authentication, admission, selection of a model version and a backend server,
+ * attempts, and the response to the caller.
  *
- * <p>Everything that belongs to one request is confined to the event loop of its caller's
- * connection. What requests share are tables with monitors or concurrent maps of their own, none of
- * which is held while another is taken.
+ * <p>The state of one request is confined to the event loop of its caller's connection. Shared
+ * state is held in thread-safe tables; no lock is held while another one is acquired.
  */
 package org.fennelstage.route;
--- a/spec/src/test/resources/bills.als
+++ b/spec/src/test/resources/bills.als
@@ -3,7 +3,7 @@
  *
  * How actions correspond to code:
  *   record, hold      Bills.record and Bills.keep
- *   answer            ChatRun.finishAnswer
+ *   answer            ChatExecution.finishResponse
  *   write             Bills.flush and BillWriter: appends to the keeper's own segment
  *   settle            BILLS_SETTLED: the origin forgets
  *   resend            Bills.resend after its keeper is gone
--- a/spec/src/test/resources/claims.als
+++ b/spec/src/test/resources/claims.als
@@ -9,8 +9,8 @@
  *                     then ObjectStore.write; any number of keepers
  *   apply             the object API's conditional update; its answer may be lost
  *   hear              the answer "made" on its way through ClaimKeeper and Claims
- *   send              ChatRun.dispatch after onClaim
- *   finish, doubt     ChatRun.onWholeAnswer, ChatRun.onFailure
+ *   send              ChatExecution.dispatch after onClaim
+ *   finish, doubt     ChatExecution.onResponseComplete, ChatExecution.onFailure
  *   release           Claims.release
  *   die               the VM is gone with its memory
  */
