--- a/fennelstage-gateway/src/main/java/org/fennelstage/store/CoalescedStore.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/store/CoalescedStore.java
@@ -66,25 +66,25 @@
     private final class Watch<T> {
         private final Store relay;
         private final long endsAtMillis;
-        private final Consumer<StoreAnswer<Page<T>>> answer;
+        private final Consumer<StoreResult<Page<T>>> answer;
 
         private Watch(
                 final Store relay,
                 final Duration wait,
-                final Consumer<StoreAnswer<Page<T>>> answer) {
+                final Consumer<StoreResult<Page<T>>> answer) {
             this.relay = relay;
             this.endsAtMillis = clock.millis() + wait.toMillis();
             this.answer = answer;
         }
 
-        private void onAnswer(final StoreAnswer<Page<T>> result) {
+        private void onAnswer(final StoreResult<Page<T>> result) {
             if (!watches.remove(this)) {
                 return;
             }
-            if (result instanceof StoreAnswer.TooLarge<Page<T>>) {
+            if (result instanceof StoreResult.TooLarge<Page<T>>) {
                 askStoreForLists();
             }
-            if (result instanceof StoreAnswer.Unavailable<Page<T>> unavailable) {
+            if (result instanceof StoreResult.Unavailable<Page<T>> unavailable) {
                 if (clock.millis() >= endsAtMillis) {
                     askStoreForLists();
                 }
@@ -96,7 +96,7 @@
         }
 
         private void fail() {
-            answer.accept(new StoreAnswer.Unavailable<>(false, "the VM that was asked failed"));
+            answer.accept(new StoreResult.Unavailable<>(false, "the VM that was asked failed"));
         }
     }
 
@@ -133,7 +133,7 @@
     public <T> void list(
             final StoreKind<T> kind,
             final Optional<String> after,
-            final Consumer<StoreAnswer<Page<T>>> answer) {
+            final Consumer<StoreResult<Page<T>>> answer) {
         final Optional<Store> relay =
                 clock.millis() < directUntilMillis ? Optional.empty() : relay();
         if (relay.isEmpty()) {
@@ -145,10 +145,10 @@
                         kind,
                         after,
                         result -> {
-                            if (result instanceof StoreAnswer.Unavailable<Page<T>> unavailable) {
+                            if (result instanceof StoreResult.Unavailable<Page<T>> unavailable) {
                                 onFailed(relay.get(), unavailable.detail());
                                 direct.list(kind, after, answer);
-                            } else if (result instanceof StoreAnswer.TooLarge<Page<T>>) {
+                            } else if (result instanceof StoreResult.TooLarge<Page<T>>) {
                                 direct.list(kind, after, answer);
                             } else {
                                 failures.remove(relay.get());
@@ -159,7 +159,7 @@
 
     @Override
     public <T> void listStale(
-            final StoreKind<T> kind, final Consumer<StoreAnswer<Page<T>>> answer) {
+            final StoreKind<T> kind, final Consumer<StoreResult<Page<T>>> answer) {
         direct.listStale(kind, answer);
     }
 
@@ -174,7 +174,7 @@
             final StoreKind<T> kind,
             final Position since,
             final Duration wait,
-            final Consumer<StoreAnswer<Page<T>>> answer) {
+            final Consumer<StoreResult<Page<T>>> answer) {
         final Optional<Store> relay = relay();
         if (relay.isEmpty()) {
             direct.watch(kind, since, wait, answer);
@@ -191,24 +191,24 @@
             final RolloutOrder order,
             final RolloutPhase phase,
             final Instant begunAt,
-            final Consumer<StoreAnswer<Void>> answer) {
+            final Consumer<StoreResult<Void>> answer) {
         direct.writePhase(order, phase, begunAt, answer);
     }
 
     @Override
-    public void writeVm(final VmEntry entry, final Consumer<StoreAnswer<Void>> answer) {
+    public void writeVm(final VmEntry entry, final Consumer<StoreResult<Void>> answer) {
         direct.writeVm(entry, answer);
     }
 
     @Override
     public void writeQuarantine(
-            final Fingerprint content, final Consumer<StoreAnswer<Void>> answer) {
+            final Fingerprint content, final Consumer<StoreResult<Void>> answer) {
         direct.writeQuarantine(content, answer);
     }
 
     @Override
     public void deleteQuarantine(
-            final Fingerprint content, final Consumer<StoreAnswer<Void>> answer) {
+            final Fingerprint content, final Consumer<StoreResult<Void>> answer) {
         direct.deleteQuarantine(content, answer);
     }
 
--- a/fennelstage-gateway/src/main/java/org/fennelstage/store/EraTracker.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/store/EraTracker.java
@@ -39,7 +39,7 @@
      *
      * @param listener runs after the new era is known here
      */
-    public void onRise(final Runnable listener) {
+    public void onNewEra(final Runnable listener) {
         listeners.add(Objects.requireNonNull(listener, "listener is null"));
     }
 
@@ -71,7 +71,7 @@
      * @param position where it was said
      * @return true if a later era is known
      */
-    public boolean isFormer(final Position position) {
+    public boolean isOfFormerEra(final Position position) {
         return position.isOfFormerEra(newest);
     }
 
@@ -89,7 +89,7 @@
      *
      * @return the count since this VM's start
      */
-    public long rises() {
+    public long restoreCount() {
         return rises;
     }
 
--- a/fennelstage-gateway/src/main/java/org/fennelstage/store/FallbackStore.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/store/FallbackStore.java
@@ -40,26 +40,26 @@
     /** A call of some kind, to be made at any store. */
     @FunctionalInterface
     private interface Call<T> {
-        void make(Store store, Consumer<StoreAnswer<T>> answer);
+        void make(Store store, Consumer<StoreResult<T>> answer);
     }
 
     /** A call that waits for the store itself. */
     private final class Pending<T> {
         private final Call<T> call;
-        private final Consumer<StoreAnswer<T>> answer;
+        private final Consumer<StoreResult<T>> answer;
         private boolean ended;
 
-        private Pending(final Call<T> call, final Consumer<StoreAnswer<T>> answer) {
+        private Pending(final Call<T> call, final Consumer<StoreResult<T>> answer) {
             this.call = call;
             this.answer = answer;
         }
 
-        private void onAnswer(final StoreAnswer<T> result) {
+        private void onAnswer(final StoreResult<T> result) {
             if (ended) {
                 return;
             }
             pending.remove(this);
-            if (result instanceof StoreAnswer.Unavailable<T> unavailable) {
+            if (result instanceof StoreResult.Unavailable<T> unavailable) {
                 onStoreFailed(unavailable.detail());
                 askRelay(call, relays.get(), 0, result, answer);
             } else {
@@ -70,7 +70,7 @@
 
         private void fail() {
             ended = true;
-            answer.accept(new StoreAnswer.Unavailable<>(true, "another call to the store failed"));
+            answer.accept(new StoreResult.Unavailable<>(true, "another call to the store failed"));
         }
     }
 
@@ -99,13 +99,13 @@
     public <T> void list(
             final StoreKind<T> kind,
             final Optional<String> after,
-            final Consumer<StoreAnswer<Page<T>>> answer) {
+            final Consumer<StoreResult<Page<T>>> answer) {
         call((s, a) -> s.list(kind, after, a), answer);
     }
 
     @Override
     public <T> void listStale(
-            final StoreKind<T> kind, final Consumer<StoreAnswer<Page<T>>> answer) {
+            final StoreKind<T> kind, final Consumer<StoreResult<Page<T>>> answer) {
         call((s, a) -> s.listStale(kind, a), answer);
     }
 
@@ -114,7 +114,7 @@
             final StoreKind<T> kind,
             final Position since,
             final Duration wait,
-            final Consumer<StoreAnswer<Page<T>>> answer) {
+            final Consumer<StoreResult<Page<T>>> answer) {
         call((s, a) -> s.watch(kind, since, wait, a), answer);
     }
 
@@ -123,24 +123,24 @@
             final RolloutOrder order,
             final RolloutPhase phase,
             final Instant begunAt,
-            final Consumer<StoreAnswer<Void>> answer) {
+            final Consumer<StoreResult<Void>> answer) {
         call((s, a) -> s.writePhase(order, phase, begunAt, a), answer);
     }
 
     @Override
-    public void writeVm(final VmEntry entry, final Consumer<StoreAnswer<Void>> answer) {
+    public void writeVm(final VmEntry entry, final Consumer<StoreResult<Void>> answer) {
         call((s, a) -> s.writeVm(entry, a), answer);
     }
 
     @Override
     public void writeQuarantine(
-            final Fingerprint content, final Consumer<StoreAnswer<Void>> answer) {
+            final Fingerprint content, final Consumer<StoreResult<Void>> answer) {
         call((s, a) -> s.writeQuarantine(content, a), answer);
     }
 
     @Override
     public void deleteQuarantine(
-            final Fingerprint content, final Consumer<StoreAnswer<Void>> answer) {
+            final Fingerprint content, final Consumer<StoreResult<Void>> answer) {
         call((s, a) -> s.deleteQuarantine(content, a), answer);
     }
 
@@ -175,10 +175,10 @@
         onStoreFailed(detail);
     }
 
-    private <T> void call(final Call<T> call, final Consumer<StoreAnswer<T>> answer) {
+    private <T> void call(final Call<T> call, final Consumer<StoreResult<T>> answer) {
         final List<Store> others = relays.get();
         if (failed && clock.millis() < retryAtMillis && !others.isEmpty()) {
-            askRelay(call, others, 0, new StoreAnswer.Unavailable<>(false, "not asked"), answer);
+            askRelay(call, others, 0, new StoreResult.Unavailable<>(false, "not asked"), answer);
             return;
         }
         final Pending<T> waiting = new Pending<>(call, answer);
@@ -190,8 +190,8 @@
             final Call<T> call,
             final List<Store> others,
             final int asked,
-            final StoreAnswer<T> last,
-            final Consumer<StoreAnswer<T>> answer) {
+            final StoreResult<T> last,
+            final Consumer<StoreResult<T>> answer) {
         if (asked >= others.size() || asked >= MOST_RELAYS) {
             answer.accept(last);
             return;
@@ -200,8 +200,8 @@
                 others.get(asked),
                 result -> {
                     final boolean noAnswer =
-                            result instanceof StoreAnswer.Unavailable<T>
-                                    || result instanceof StoreAnswer.TooLarge<T>;
+                            result instanceof StoreResult.Unavailable<T>
+                                    || result instanceof StoreResult.TooLarge<T>;
                     if (noAnswer) {
                         askRelay(call, others, asked + 1, result, answer);
                     } else {
--- a/fennelstage-gateway/src/main/java/org/fennelstage/store/Follower.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/store/Follower.java
@@ -67,22 +67,22 @@
         default void onMalformed(final StoredValue<T> value) {}
 
         /** Hears that a call failed: the store is away, or the way by which it was asked. */
-        default void onLost() {}
+        default void onStoreCallFailed() {}
 
         /**
          * Hears that a list failed too. A list is asked for by every way there is, so this is the
          * store itself.
          */
-        default void onAway() {}
+        default void onStoreUnavailable() {}
 
         /** Hears that the store answers again, before the news that it brings. */
-        default void onBack() {}
+        default void onStoreAvailable() {}
 
         /**
          * Hears that the store has come back from an older copy, before the first list of the new
          * era: what was heard may be lost there, and what is listed may be older than it.
          */
-        default void onReplaced() {}
+        default void onStoreRestored() {}
     }
 
     private final EventLoop loop;
@@ -132,7 +132,7 @@
         this.eras = Objects.requireNonNull(eras, "eras is null");
         this.listener = Objects.requireNonNull(listener, "listener is null");
         this.malformed = MalformedObjects.empty(kind.toString());
-        eras.onRise(this::onReplaced);
+        eras.onNewEra(this::onStoreRestored);
     }
 
     /** Begins to follow. */
@@ -141,8 +141,8 @@
         listAnew();
     }
 
-    private void onReplaced() {
-        listener.onReplaced();
+    private void onStoreRestored() {
+        listener.onStoreRestored();
         if (started) {
             listAnew();
         }
@@ -160,11 +160,11 @@
         store.list(kind, Optional.empty(), this::onRefreshed);
     }
 
-    private void onRefreshed(final StoreAnswer<Page<T>> answer) {
+    private void onRefreshed(final StoreResult<Page<T>> answer) {
         refreshing = false;
         // A failure shows in the watch as well, which lists anew then. A list in parts is left to
         // it too.
-        if (answer instanceof StoreAnswer.Done<Page<T>> done
+        if (answer instanceof StoreResult.Done<Page<T>> done
                 && done.value().next().isEmpty()
                 && isPresent(done.value())) {
             hearAll(done.value().values());
@@ -206,8 +206,8 @@
                 });
     }
 
-    private void onListed(final StoreAnswer<Page<T>> answer) {
-        if (!(answer instanceof StoreAnswer.Done<Page<T>> done)) {
+    private void onListed(final StoreResult<Page<T>> answer) {
+        if (!(answer instanceof StoreResult.Done<Page<T>> done)) {
             retry(describe(answer));
             onListFailed();
             return;
@@ -232,7 +232,7 @@
 
     /** A VM that lags passed an answer of a former era on: asked again after a pause. */
     private void listAgainIfOld(final Page<T> page) {
-        if (eras.isFormer(page.position())) {
+        if (eras.isOfFormerEra(page.position())) {
             logStale(page);
             retry("answer of an era that has ended");
         }
@@ -274,19 +274,19 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    private void onWatched(final StoreAnswer<Page<T>> answer) {
-        if (answer instanceof StoreAnswer.HistoryGone<Page<T>>) {
+    private void onWatched(final StoreResult<Page<T>> answer) {
+        if (answer instanceof StoreResult.HistoryGone<Page<T>>) {
             EventLog.write(Event.HISTORY_GONE, "kind", kind, "revision", position);
             listAnew();
             return;
         }
-        if (answer instanceof StoreAnswer.TooLarge<Page<T>>) {
+        if (answer instanceof StoreResult.TooLarge<Page<T>>) {
             // A list holds the present state alone. A watch brings every version in between, so
             // that a VM with a slow link which has fallen behind falls behind further.
             listAnew();
             return;
         }
-        if (!(answer instanceof StoreAnswer.Done<Page<T>> done)) {
+        if (!(answer instanceof StoreResult.Done<Page<T>> done)) {
             retry(describe(answer));
             return;
         }
@@ -341,7 +341,7 @@
                     Event.STORE_BACK, "kind", kind, "failed_calls", failures, "was_away", away);
             failures = 0;
             away = false;
-            listener.onBack();
+            listener.onStoreAvailable();
         }
     }
 
@@ -349,7 +349,7 @@
         if (!away) {
             away = true;
             EventLog.write(Event.STORE_AWAY, "kind", kind, "revision", position);
-            listener.onAway();
+            listener.onStoreUnavailable();
         }
     }
 
@@ -357,11 +357,11 @@
         failures++;
         if (failures == 1) {
             EventLog.write(Event.STORE_LOST, "kind", kind, "revision", position, "detail", detail);
-            listener.onLost();
+            listener.onStoreCallFailed();
         }
         final long bound =
                 Math.min(
-                        pace.get().longestBackoff().toMillis(),
+                        pace.get().maxBackoff().toMillis(),
                         FIRST_BACKOFF_MILLIS << Math.min(failures - 1, 10));
         // Listed anew, not watched on: a store that cut its watches may have dropped the changes
         // that they missed, and a watch that comes in between is deaf to them.
@@ -376,8 +376,8 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    private static String describe(final StoreAnswer<?> answer) {
-        return answer instanceof StoreAnswer.Unavailable<?> unavailable
+    private static String describe(final StoreResult<?> answer) {
+        return answer instanceof StoreResult.Unavailable<?> unavailable
                 ? unavailable.detail()
                 : answer.getClass().getSimpleName();
     }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/store/Store.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/store/Store.java
@@ -25,7 +25,7 @@
      * @param after the name after which the list goes on, empty for its begin
      * @param answer takes the part of the list
      */
-    <T> void list(StoreKind<T> kind, Optional<String> after, Consumer<StoreAnswer<Page<T>>> answer);
+    <T> void list(StoreKind<T> kind, Optional<String> after, Consumer<StoreResult<Page<T>>> answer);
 
     /**
      * Lists the objects of a kind as they were some seconds ago, at a fraction of the price.
@@ -34,7 +34,7 @@
      * @param kind the kind
      * @param answer takes the first part of the list
      */
-    <T> void listStale(StoreKind<T> kind, Consumer<StoreAnswer<Page<T>>> answer);
+    <T> void listStale(StoreKind<T> kind, Consumer<StoreResult<Page<T>>> answer);
 
     /**
      * Waits for changes of a kind.
@@ -49,7 +49,7 @@
             StoreKind<T> kind,
             Position since,
             Duration wait,
-            Consumer<StoreAnswer<Page<T>>> answer);
+            Consumer<StoreResult<Page<T>>> answer);
 
     /**
      * Writes how far a roll-out has come, if its object is unchanged.
@@ -63,7 +63,7 @@
             RolloutOrder order,
             RolloutPhase phase,
             Instant begunAt,
-            Consumer<StoreAnswer<Void>> answer);
+            Consumer<StoreResult<Void>> answer);
 
     /**
      * Enters a VM, or replaces its entry.
@@ -71,7 +71,7 @@
      * @param entry the entry
      * @param answer takes the end
      */
-    void writeVm(VmEntry entry, Consumer<StoreAnswer<Void>> answer);
+    void writeVm(VmEntry entry, Consumer<StoreResult<Void>> answer);
 
     /**
      * Notes that a request is refused, for VMs that start later.
@@ -79,7 +79,7 @@
      * @param content the request
      * @param answer takes the end; a conflict if it is noted already
      */
-    void writeQuarantine(Fingerprint content, Consumer<StoreAnswer<Void>> answer);
+    void writeQuarantine(Fingerprint content, Consumer<StoreResult<Void>> answer);
 
     /**
      * Notes that a request is refused no longer.
@@ -87,5 +87,5 @@
      * @param content the request
      * @param answer takes the end; a conflict if that is noted already
      */
-    void deleteQuarantine(Fingerprint content, Consumer<StoreAnswer<Void>> answer);
+    void deleteQuarantine(Fingerprint content, Consumer<StoreResult<Void>> answer);
 }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/store/StoreAnswer.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/store/StoreResult.java
@@ -5,7 +5,7 @@
  *
  * @param <T> what a call that succeeds returns
  */
-public sealed interface StoreAnswer<T> {
+public sealed interface StoreResult<T> {
 
     /**
      * The call took effect.
@@ -13,21 +13,21 @@
      * @param <T> what it returns
      * @param value the result
      */
-    record Done<T>(T value) implements StoreAnswer<T> {}
+    record Done<T>(T value) implements StoreResult<T> {}
 
     /**
      * The store no longer has the history that was asked for.
      *
      * @param <T> what the call would have returned
      */
-    record HistoryGone<T>() implements StoreAnswer<T> {}
+    record HistoryGone<T>() implements StoreResult<T> {}
 
     /**
      * The object has another revision; nothing was written.
      *
      * @param <T> what the call would have returned
      */
-    record Conflict<T>() implements StoreAnswer<T> {}
+    record Conflict<T>() implements StoreResult<T> {}
 
     /**
      * Nothing was done, or nothing is known of what was done.
@@ -36,7 +36,7 @@
      * @param mayHaveTakenEffect whether a write may have been done, or may be done later
      * @param detail why
      */
-    record Unavailable<T>(boolean mayHaveTakenEffect, String detail) implements StoreAnswer<T> {}
+    record Unavailable<T>(boolean mayHaveTakenEffect, String detail) implements StoreResult<T> {}
 
     /**
      * The VM that was asked has the answer, and its link cannot carry it to all who asked; the
@@ -44,5 +44,5 @@
      *
      * @param <T> what the call would have returned
      */
-    record TooLarge<T>() implements StoreAnswer<T> {}
+    record TooLarge<T>() implements StoreResult<T> {}
 }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/store/WatchPace.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/store/WatchPace.java
@@ -11,11 +11,11 @@
  * @param pause the pause after a watch that brought changes; changes that come together are then
  *     one call, where each would end a watch of every VM
  * @param listPause the pause between a list and the first watch after it
- * @param longestBackoff the longest wait after calls that failed; those made while the store is
- *     away are in vain
+ * @param maxBackoff the longest wait after calls that failed; those made while the store is away
+ *     are in vain
  */
 public record WatchPace(
-        Duration watchTime, Duration pause, Duration listPause, Duration longestBackoff) {
+        Duration watchTime, Duration pause, Duration listPause, Duration maxBackoff) {
 
     /** Suits what must be known a moment after the store's return. */
     private static final Duration SOON = Duration.ofMillis(800);
@@ -24,7 +24,7 @@
         Objects.requireNonNull(watchTime, "watchTime is null");
         Objects.requireNonNull(pause, "pause is null");
         Objects.requireNonNull(listPause, "listPause is null");
-        Objects.requireNonNull(longestBackoff, "longestBackoff is null");
+        Objects.requireNonNull(maxBackoff, "maxBackoff is null");
     }
 
     /**
@@ -46,7 +46,7 @@
      * @return the pace
      */
     public WatchPace withListPause(final Duration newer) {
-        return new WatchPace(watchTime, pause, newer, longestBackoff);
+        return new WatchPace(watchTime, pause, newer, maxBackoff);
     }
 
     /**
@@ -55,7 +55,7 @@
      * @param backoff the longest wait
      * @return the pace
      */
-    public WatchPace withLongestBackoff(final Duration backoff) {
+    public WatchPace withMaxBackoff(final Duration backoff) {
         return new WatchPace(watchTime, pause, listPause, backoff);
     }
 }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/EvacuationFeed.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/EvacuationFeed.java
@@ -62,7 +62,7 @@
     }
 
     @Override
-    public void onReplaced() {
+    public void onStoreRestored() {
         evacuations.onStoreReplaced();
         unsettled = true;
         settledAtMillis = beliefs.clock().millis() + Beliefs.REWRITE_MILLIS;
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/GatewayVm.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/GatewayVm.java
@@ -153,7 +153,7 @@
                     loop.scheduleWithFixedDelay(
                             this::performDuties, DUTY_MILLIS, DUTY_MILLIS, TimeUnit.MILLISECONDS);
                     peers.start(loop, store);
-                    eras.onRise(() -> peers.onStoreReplaced(loop, store, random));
+                    eras.onNewEra(() -> peers.onStoreReplaced(loop, store, random));
                 });
     }
 
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/Peers.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/Peers.java
@@ -25,8 +25,8 @@
 import org.fennelstage.member.Rendezvous;
 import org.fennelstage.store.Page;
 import org.fennelstage.store.Store;
-import org.fennelstage.store.StoreAnswer;
 import org.fennelstage.store.StoreKind;
+import org.fennelstage.store.StoreResult;
 import org.fennelstage.store.StoredValue;
 import org.fennelstage.store.VmEntry;
 
@@ -134,8 +134,8 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    private void onList(final Store store, final StoreAnswer<Page<VmEntry>> answer) {
-        if (answer instanceof StoreAnswer.Done<Page<VmEntry>> done) {
+    private void onList(final Store store, final StoreResult<Page<VmEntry>> answer) {
+        if (answer instanceof StoreResult.Done<Page<VmEntry>> done) {
             final List<StoredValue<VmEntry>> values = done.value().values();
             take(values);
             if (!lists(values, own)) {
@@ -273,8 +273,8 @@
         return stores.computeIfAbsent(entry.address(), relayOf);
     }
 
-    private static void onEntered(final StoreAnswer<Void> answer) {
-        if (answer instanceof StoreAnswer.Unavailable<Void> unavailable) {
+    private static void onEntered(final StoreResult<Void> answer) {
+        if (answer instanceof StoreResult.Unavailable<Void> unavailable) {
             EventLog.write(
                     Event.WRITE_FAILED, "object", "own entry", "detail", unavailable.detail());
         }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/QuarantineFeed.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/QuarantineFeed.java
@@ -14,8 +14,8 @@
 import org.fennelstage.log.EventLog;
 import org.fennelstage.store.Follower;
 import org.fennelstage.store.Store;
-import org.fennelstage.store.StoreAnswer;
 import org.fennelstage.store.StoreKind;
+import org.fennelstage.store.StoreResult;
 import org.fennelstage.store.StoredValue;
 import org.fennelstage.time.MonotonicClock;
 
@@ -156,10 +156,10 @@
 
     /** A conflict says that another VM wrote it before. */
     private void onWritten(
-            final Fingerprint content, final StoreAnswer<Void> answer, final Runnable done) {
+            final Fingerprint content, final StoreResult<Void> answer, final Runnable done) {
         writing.remove(content);
         turns.forget(content);
-        if (answer instanceof StoreAnswer.Unavailable<Void> unavailable) {
+        if (answer instanceof StoreResult.Unavailable<Void> unavailable) {
             retryAtMillis = clock.millis() + RETRY_MILLIS;
             EventLog.write(
                     Event.WRITE_FAILED,
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/RolloutFeed.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/RolloutFeed.java
@@ -21,7 +21,7 @@
 import org.fennelstage.log.EventLog;
 import org.fennelstage.store.Follower;
 import org.fennelstage.store.Store;
-import org.fennelstage.store.StoreAnswer;
+import org.fennelstage.store.StoreResult;
 import org.fennelstage.store.StoredValue;
 
 /**
@@ -161,9 +161,9 @@
     }
 
     private void onWritten(
-            final ServiceName service, final RolloutPhase phase, final StoreAnswer<Void> answer) {
+            final ServiceName service, final RolloutPhase phase, final StoreResult<Void> answer) {
         writing.remove(service);
-        if (answer instanceof StoreAnswer.Unavailable<Void> unavailable) {
+        if (answer instanceof StoreResult.Unavailable<Void> unavailable) {
             EventLog.write(
                     Event.WRITE_FAILED,
                     "service",
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/ServerFeed.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/ServerFeed.java
@@ -80,22 +80,22 @@
     }
 
     @Override
-    public void onLost() {
+    public void onStoreCallFailed() {
         servers.onStoreDoubted();
     }
 
     @Override
-    public void onAway() {
+    public void onStoreUnavailable() {
         servers.onStoreLost();
     }
 
     @Override
-    public void onBack() {
+    public void onStoreAvailable() {
         servers.onStoreBack();
     }
 
     @Override
-    public void onReplaced() {
+    public void onStoreRestored() {
         beliefs.onStoreReplaced();
     }
 
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/StoreWatches.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/StoreWatches.java
@@ -47,7 +47,7 @@
      * few seconds finds its return.
      */
     static final WatchPace QUARANTINE_PACE =
-            WatchPace.ofMillis(30_000, 0).withLongestBackoff(Duration.ofSeconds(4));
+            WatchPace.ofMillis(30_000, 0).withMaxBackoff(Duration.ofSeconds(4));
 
     /** Pace of that watch until its first list, for which a VM that starts waits. */
     static final WatchPace FIRST_QUARANTINE_PACE = WatchPace.ofMillis(30_000, 0);
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/VmMetrics.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/VmMetrics.java
@@ -50,7 +50,7 @@
         metrics.gauge(
                 "fennelstage_gateway_store_returns",
                 "How often the store was seen to come back from an older copy",
-                eras::rises);
+                eras::restoreCount);
     }
 
     @Override
--- a/fennelstage-gateway/src/test/java/org/fennelstage/store/CoalescedStoreTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/store/CoalescedStoreTest.java
@@ -13,17 +13,17 @@
 
 class CoalescedStoreTest {
 
-    private static final StoreAnswer<Page<VmEntry>> PAGE =
-            new StoreAnswer.Done<>(new Page<>(List.of(), Optional.empty(), Position.of(0, 7)));
-    private static final StoreAnswer<Page<VmEntry>> AWAY =
-            new StoreAnswer.Unavailable<>(false, "503");
+    private static final StoreResult<Page<VmEntry>> PAGE =
+            new StoreResult.Done<>(new Page<>(List.of(), Optional.empty(), Position.of(0, 7)));
+    private static final StoreResult<Page<VmEntry>> AWAY =
+            new StoreResult.Unavailable<>(false, "503");
 
     private final AtomicLong now = new AtomicLong(1_000_000);
     private final ManualStore direct = new ManualStore();
     private final ManualStore first = new ManualStore();
     private final ManualStore second = new ManualStore();
     private final List<Store> relays = new ArrayList<>(List.of(first, second));
-    private final List<StoreAnswer<Page<VmEntry>>> answers = new ArrayList<>();
+    private final List<StoreResult<Page<VmEntry>>> answers = new ArrayList<>();
     private final CoalescedStore store =
             new CoalescedStore(direct, () -> relays, () -> Duration.ofSeconds(3), now::get);
 
@@ -64,7 +64,7 @@
         watch();
         watch();
         first.answer(AWAY);
-        assertThat(answers).hasSize(2).allMatch(a -> a instanceof StoreAnswer.Unavailable);
+        assertThat(answers).hasSize(2).allMatch(a -> a instanceof StoreResult.Unavailable);
         list();
         second.answer(PAGE);
         assertThat(answers).hasSize(3).last().isEqualTo(PAGE);
@@ -105,7 +105,7 @@
      */
     @Test
     void anAnswerTooLargeForAllIsListedAtTheStoreAndTheVmStaysInUse() {
-        final StoreAnswer<Page<VmEntry>> tooLarge = new StoreAnswer.TooLarge<>();
+        final StoreResult<Page<VmEntry>> tooLarge = new StoreResult.TooLarge<>();
         watch();
         watch();
         first.answer(tooLarge);
@@ -173,7 +173,7 @@
                             final StoreKind<T> kind,
                             final Position since,
                             final Duration wait,
-                            final Consumer<StoreAnswer<Page<T>>> answer) {
+                            final Consumer<StoreResult<Page<T>>> answer) {
                         waits.add(wait);
                     }
                 };
--- a/fennelstage-gateway/src/test/java/org/fennelstage/store/EraTrackerTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/store/EraTrackerTest.java
@@ -18,14 +18,14 @@
 
     @Test
     void theFirstEraIsNoReturnAndEachLaterOneIsToldOnce() {
-        eras.onRise(() -> heard.add(eras.era()));
+        eras.onNewEra(() -> heard.add(eras.era()));
         offer(3, 10);
         offer(3, 9);
         offer(4, 2);
         offer(4, 3);
         offer(7, 1);
         assertThat(heard).containsExactly(4L, 7L);
-        assertThat(eras.rises()).isEqualTo(2);
+        assertThat(eras.restoreCount()).isEqualTo(2);
     }
 
     @Test
@@ -33,7 +33,7 @@
         assertThat(offer(4, 2)).isTrue();
         assertThat(offer(3, 90)).isFalse();
         assertThat(offer(4, 1)).isTrue();
-        assertThat(eras.isFormer(Position.of(3, 90))).isTrue();
+        assertThat(eras.isOfFormerEra(Position.of(3, 90))).isTrue();
         assertThat(eras.era()).isEqualTo(4);
     }
 }
--- a/fennelstage-gateway/src/test/java/org/fennelstage/store/FallbackStoreTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/store/FallbackStoreTest.java
@@ -11,16 +11,16 @@
 
 class FallbackStoreTest {
 
-    private static final StoreAnswer<Page<VmEntry>> PAGE =
-            new StoreAnswer.Done<>(new Page<>(List.of(), Optional.empty(), Position.of(0, 7)));
-    private static final StoreAnswer<Page<VmEntry>> AWAY =
-            new StoreAnswer.Unavailable<>(false, "503");
+    private static final StoreResult<Page<VmEntry>> PAGE =
+            new StoreResult.Done<>(new Page<>(List.of(), Optional.empty(), Position.of(0, 7)));
+    private static final StoreResult<Page<VmEntry>> AWAY =
+            new StoreResult.Unavailable<>(false, "503");
 
     private final AtomicLong now = new AtomicLong(1_000_000);
     private final ManualStore store = new ManualStore();
     private final ManualStore near = new ManualStore();
     private final ManualStore far = new ManualStore();
-    private final List<StoreAnswer<Page<VmEntry>>> answers = new ArrayList<>();
+    private final List<StoreResult<Page<VmEntry>>> answers = new ArrayList<>();
     private final FallbackStore fallback =
             new FallbackStore(store, () -> List.of(near, far), now::get);
 
@@ -63,7 +63,7 @@
         list();
         store.answer(AWAY);
         assertThat(answers).hasSize(1);
-        assertThat(answers.get(0)).isInstanceOf(StoreAnswer.Unavailable.class);
+        assertThat(answers.get(0)).isInstanceOf(StoreResult.Unavailable.class);
         near.answer(PAGE);
         store.answer(PAGE);
         assertThat(answers).hasSize(2);
@@ -115,7 +115,7 @@
     void anAnswerThatOneVmCannotCarryIsAskedOfTheNext() {
         list();
         store.answer(AWAY);
-        near.answer(new StoreAnswer.TooLarge<Page<VmEntry>>());
+        near.answer(new StoreResult.TooLarge<Page<VmEntry>>());
         far.answer(PAGE);
         assertThat(answers).containsExactly(PAGE);
     }
--- a/fennelstage-gateway/src/test/java/org/fennelstage/store/FollowerTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/store/FollowerTest.java
@@ -23,7 +23,7 @@
 class FollowerTest implements Follower.Listener<VmEntry> {
 
     /** A call to the store, waiting for the test's answer. */
-    private record Waiting(String call, Consumer<StoreAnswer<Page<VmEntry>>> answer) {}
+    private record Waiting(String call, Consumer<StoreResult<Page<VmEntry>>> answer) {}
 
     /** Keeps the calls in words. */
     private final class RecordingStore extends ManualStore {
@@ -33,7 +33,7 @@
         public <T> void list(
                 final StoreKind<T> kind,
                 final Optional<String> after,
-                final Consumer<StoreAnswer<Page<T>>> answer) {
+                final Consumer<StoreResult<Page<T>>> answer) {
             calls.add(new Waiting("list " + after.orElse("-"), (Consumer) answer));
         }
 
@@ -43,7 +43,7 @@
                 final StoreKind<T> kind,
                 final Position since,
                 final Duration wait,
-                final Consumer<StoreAnswer<Page<T>>> answer) {
+                final Consumer<StoreResult<Page<T>>> answer) {
             calls.add(new Waiting("watch " + since.revision(), (Consumer) answer));
         }
     }
@@ -78,22 +78,22 @@
     }
 
     @Override
-    public void onLost() {
+    public void onStoreCallFailed() {
         heard.add("lost");
     }
 
     @Override
-    public void onAway() {
+    public void onStoreUnavailable() {
         heard.add("away");
     }
 
     @Override
-    public void onBack() {
+    public void onStoreAvailable() {
         heard.add("back");
     }
 
     @Override
-    public void onReplaced() {
+    public void onStoreRestored() {
         heard.add("replaced");
     }
 
@@ -116,7 +116,7 @@
     void afterAFailureTheObjectsAreListedAnew() throws InterruptedException {
         follower.start();
         answer("list -", page(Optional.empty(), 5));
-        answer("watch 5", new StoreAnswer.Unavailable<>(false, "reset"));
+        answer("watch 5", new StoreResult.Unavailable<>(false, "reset"));
         answer("list -", page(Optional.empty(), 7, entry("a", 7)));
         expect("watch 7");
         assertThat(heard).containsExactly("all []", "lost", "back", "all [a]");
@@ -126,12 +126,12 @@
     void onlyAListThatFailsTellsThatTheStoreIsAwayAndItIsToldOnce() throws InterruptedException {
         follower.start();
         answer("list -", page(Optional.empty(), 5));
-        answer("watch 5", new StoreAnswer.Unavailable<>(false, "the VM that was asked failed"));
-        answer("list -", new StoreAnswer.Unavailable<>(false, "503"));
-        answer("list -", new StoreAnswer.Unavailable<>(false, "503"));
+        answer("watch 5", new StoreResult.Unavailable<>(false, "the VM that was asked failed"));
+        answer("list -", new StoreResult.Unavailable<>(false, "503"));
+        answer("list -", new StoreResult.Unavailable<>(false, "503"));
         answer("list -", page(Optional.empty(), 7, entry("a", 7)));
-        answer("watch 7", new StoreAnswer.Unavailable<>(false, "503"));
-        answer("list -", new StoreAnswer.Unavailable<>(false, "503"));
+        answer("watch 7", new StoreResult.Unavailable<>(false, "503"));
+        answer("list -", new StoreResult.Unavailable<>(false, "503"));
         expect("list -");
         assertThat(heard)
                 .containsExactly("all []", "lost", "away", "back", "all [a]", "lost", "away");
@@ -146,7 +146,7 @@
     void whatIsTooLargeForAWatchIsListedAtOnceAndTheStoreIsNotLost() throws InterruptedException {
         follower.start();
         answer("list -", page(Optional.empty(), 5));
-        answer("watch 5", new StoreAnswer.TooLarge<>());
+        answer("watch 5", new StoreResult.TooLarge<>());
         answer("list -", page(Optional.empty(), 9, entry("a", 9)));
         expect("watch 9");
         assertThat(heard).containsExactly("all []", "all [a]");
@@ -156,7 +156,7 @@
     void whenTheHistoryIsGoneTheObjectsAreListedAnewAtOnce() throws InterruptedException {
         follower.start();
         answer("list -", page(Optional.empty(), 5));
-        answer("watch 5", new StoreAnswer.HistoryGone<>());
+        answer("watch 5", new StoreResult.HistoryGone<>());
         expect("list -");
         assertThat(heard).containsExactly("all []");
     }
@@ -185,7 +185,7 @@
         assertThat(heard).containsExactly("all [a]");
     }
 
-    private void answer(final String call, final StoreAnswer<Page<VmEntry>> answer)
+    private void answer(final String call, final StoreResult<Page<VmEntry>> answer)
             throws InterruptedException {
         final Waiting waiting = expect(call);
         loop.submit(() -> waiting.answer().accept(answer)).sync();
@@ -199,11 +199,11 @@
     }
 
     @SafeVarargs
-    private static StoreAnswer<Page<VmEntry>> page(
+    private static StoreResult<Page<VmEntry>> page(
             final Optional<String> next,
             final long revision,
             final StoredValue<VmEntry>... values) {
-        return new StoreAnswer.Done<>(new Page<>(List.of(values), next, Position.of(0, revision)));
+        return new StoreResult.Done<>(new Page<>(List.of(values), next, Position.of(0, revision)));
     }
 
     private static StoredValue<VmEntry> entry(final String name, final long revision) {
@@ -271,9 +271,9 @@
     }
 
     @SafeVarargs
-    private static StoreAnswer<Page<VmEntry>> laterPage(
+    private static StoreResult<Page<VmEntry>> laterPage(
             final long revision, final StoredValue<VmEntry>... values) {
-        return new StoreAnswer.Done<>(
+        return new StoreResult.Done<>(
                 new Page<>(List.of(values), Optional.empty(), Position.of(1, revision)));
     }
 }
--- a/fennelstage-gateway/src/test/java/org/fennelstage/store/ManualStore.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/store/ManualStore.java
@@ -13,19 +13,19 @@
 
 /** A store whose answers a test gives. Confined to the thread of its test. */
 public class ManualStore implements Store {
-    private final List<Consumer<StoreAnswer<?>>> waiting = new ArrayList<>();
+    private final List<Consumer<StoreResult<?>>> waiting = new ArrayList<>();
 
     @Override
     public <T> void list(
             final StoreKind<T> kind,
             final Optional<String> after,
-            final Consumer<StoreAnswer<Page<T>>> answer) {
+            final Consumer<StoreResult<Page<T>>> answer) {
         keep(answer);
     }
 
     @Override
     public <T> void listStale(
-            final StoreKind<T> kind, final Consumer<StoreAnswer<Page<T>>> answer) {
+            final StoreKind<T> kind, final Consumer<StoreResult<Page<T>>> answer) {
         keep(answer);
     }
 
@@ -34,7 +34,7 @@
             final StoreKind<T> kind,
             final Position since,
             final Duration wait,
-            final Consumer<StoreAnswer<Page<T>>> answer) {
+            final Consumer<StoreResult<Page<T>>> answer) {
         keep(answer);
     }
 
@@ -43,39 +43,39 @@
             final RolloutOrder order,
             final RolloutPhase phase,
             final Instant begunAt,
-            final Consumer<StoreAnswer<Void>> answer) {
+            final Consumer<StoreResult<Void>> answer) {
         keep(answer);
     }
 
     @Override
-    public void writeVm(final VmEntry entry, final Consumer<StoreAnswer<Void>> answer) {
+    public void writeVm(final VmEntry entry, final Consumer<StoreResult<Void>> answer) {
         keep(answer);
     }
 
     @Override
     public void writeQuarantine(
-            final Fingerprint content, final Consumer<StoreAnswer<Void>> answer) {
+            final Fingerprint content, final Consumer<StoreResult<Void>> answer) {
         keep(answer);
     }
 
     @Override
     public void deleteQuarantine(
-            final Fingerprint content, final Consumer<StoreAnswer<Void>> answer) {
+            final Fingerprint content, final Consumer<StoreResult<Void>> answer) {
         keep(answer);
     }
 
     @SuppressWarnings({"unchecked", "rawtypes"})
     private void keep(final Consumer answer) {
-        waiting.add((Consumer<StoreAnswer<?>>) answer);
+        waiting.add((Consumer<StoreResult<?>>) answer);
     }
 
     /** Returns who waits for an answer, the oldest first. */
-    public List<Consumer<StoreAnswer<?>>> waiting() {
+    public List<Consumer<StoreResult<?>>> waiting() {
         return waiting;
     }
 
     /** Answers the oldest call that waits. */
-    public void answer(final StoreAnswer<?> answer) {
+    public void answer(final StoreResult<?> answer) {
         waiting.remove(0).accept(answer);
     }
 }
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/LoadCollectionTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/LoadCollectionTest.java
@@ -23,7 +23,7 @@
 import org.fennelstage.id.VmId;
 import org.fennelstage.store.ManualStore;
 import org.fennelstage.store.Page;
-import org.fennelstage.store.StoreAnswer;
+import org.fennelstage.store.StoreResult;
 import org.fennelstage.store.StoredValue;
 import org.fennelstage.store.VmEntry;
 import org.junit.jupiter.api.AfterEach;
@@ -99,8 +99,8 @@
                             Optional.of(entry),
                             Optional.empty()));
         }
-        final StoreAnswer<Page<VmEntry>> list =
-                new StoreAnswer.Done<>(new Page<>(values, Optional.empty(), Position.of(0, 1)));
+        final StoreResult<Page<VmEntry>> list =
+                new StoreResult.Done<>(new Page<>(values, Optional.empty(), Position.of(0, 1)));
         for (final Vm vm : vms.values()) {
             final ManualStore store = new ManualStore();
             vm.peers.start(loop, store);
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/ModelStore.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/ModelStore.java
@@ -16,8 +16,8 @@
 import org.fennelstage.serving.ServingConfiguration;
 import org.fennelstage.store.ManualStore;
 import org.fennelstage.store.Page;
-import org.fennelstage.store.StoreAnswer;
 import org.fennelstage.store.StoreKind;
+import org.fennelstage.store.StoreResult;
 import org.fennelstage.store.StoredValue;
 
 /**
@@ -42,13 +42,13 @@
     private final class Call {
         private final StoreKind<?> kind;
         private final Optional<Position> since;
-        private final Consumer<StoreAnswer<?>> answer;
-        private Optional<StoreAnswer<?>> madeUp = Optional.empty();
+        private final Consumer<StoreResult<?>> answer;
+        private Optional<StoreResult<?>> madeUp = Optional.empty();
 
         private Call(
                 final StoreKind<?> kind,
                 final Optional<Position> since,
-                final Consumer<StoreAnswer<?>> answer) {
+                final Consumer<StoreResult<?>> answer) {
             this.kind = kind;
             this.since = since;
             this.answer = answer;
@@ -67,12 +67,12 @@
                     .toList();
         }
 
-        private StoreAnswer<?> makeUp() {
+        private StoreResult<?> makeUp() {
             if (since.isEmpty()) {
                 return page(objects.values().stream().filter(s -> s.kind().equals(kind)).toList());
             }
             return since.get().revision() > revision
-                    ? new StoreAnswer.HistoryGone<>()
+                    ? new StoreResult.HistoryGone<>()
                     : page(changes());
         }
     }
@@ -157,10 +157,10 @@
         return true;
     }
 
-    private StoreAnswer<?> page(final List<Stored> stored) {
+    private StoreResult<?> page(final List<Stored> stored) {
         final List<StoredValue<Object>> values =
                 stored.stream().map(s -> value(s, Position.of(era, s.revision()))).toList();
-        return new StoreAnswer.Done<>(
+        return new StoreResult.Done<>(
                 new Page<>(values, Optional.empty(), Position.of(era, revision)));
     }
 
@@ -175,7 +175,7 @@
     public <T> void list(
             final StoreKind<T> kind,
             final Optional<String> after,
-            final Consumer<StoreAnswer<Page<T>>> answer) {
+            final Consumer<StoreResult<Page<T>>> answer) {
         calls.add(new Call(kind, Optional.empty(), (Consumer) answer));
     }
 
@@ -185,7 +185,7 @@
             final StoreKind<T> kind,
             final Position since,
             final Duration wait,
-            final Consumer<StoreAnswer<Page<T>>> answer) {
+            final Consumer<StoreResult<Page<T>>> answer) {
         calls.add(new Call(kind, Optional.of(since), (Consumer) answer));
     }
 
@@ -194,17 +194,17 @@
             final RolloutOrder order,
             final RolloutPhase phase,
             final Instant begunAt,
-            final Consumer<StoreAnswer<Void>> answer) {
+            final Consumer<StoreResult<Void>> answer) {
         writes.add(() -> answer.accept(write(order, phase, begunAt)));
     }
 
     /** Compares the revision alone, as the real store does. */
-    private StoreAnswer<Void> write(
+    private StoreResult<Void> write(
             final RolloutOrder order, final RolloutPhase phase, final Instant begunAt) {
         final String service = order.service().value();
         final Stored stored = objects.get(StoreKind.ROLLOUTS + "/" + service);
         if (stored == null || stored.revision() != order.position().revision()) {
-            return new StoreAnswer.Conflict<>();
+            return new StoreResult.Conflict<>();
         }
         final RolloutOrder now = order(service).orElseThrow();
         // A status of another target is no status of this order.
@@ -216,7 +216,7 @@
                     service,
                     Optional.of(order(now, RolloutPhase.ORDERED, Optional.empty())));
         }
-        return new StoreAnswer.Done<>(null);
+        return new StoreResult.Done<>(null);
     }
 
     static Content order(
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/PeersTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/PeersTest.java
@@ -17,7 +17,7 @@
 import org.fennelstage.store.ManualStore;
 import org.fennelstage.store.Page;
 import org.fennelstage.store.Store;
-import org.fennelstage.store.StoreAnswer;
+import org.fennelstage.store.StoreResult;
 import org.fennelstage.store.StoredValue;
 import org.fennelstage.store.VmEntry;
 import org.junit.jupiter.api.AfterEach;
@@ -45,7 +45,7 @@
                 new Peers(own, a -> stores.computeIfAbsent(a, b -> new ManualStore()), count -> {});
         final ManualStore store = new ManualStore();
         peers.start(loop, store);
-        final StoreAnswer<Page<VmEntry>> list = list(all);
+        final StoreResult<Page<VmEntry>> list = list(all);
         store.answer(list);
         assertThat(peers.coalescing()).as("just started").isEmpty();
         peers.start(loop, store);
@@ -53,7 +53,7 @@
         return peers;
     }
 
-    private static StoreAnswer<Page<VmEntry>> list(final List<VmEntry> all) {
+    private static StoreResult<Page<VmEntry>> list(final List<VmEntry> all) {
         final List<StoredValue<VmEntry>> values = new ArrayList<>();
         for (final VmEntry entry : all) {
             values.add(
@@ -63,7 +63,7 @@
                             Optional.of(entry),
                             Optional.empty()));
         }
-        return new StoreAnswer.Done<>(new Page<>(values, Optional.empty(), Position.of(0, 1)));
+        return new StoreResult.Done<>(new Page<>(values, Optional.empty(), Position.of(0, 1)));
     }
 
     private static List<VmEntry> dataCentre(final String name, final int first, final int count) {
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/QuarantineFeedTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/QuarantineFeedTest.java
@@ -17,7 +17,7 @@
 import org.fennelstage.http.HttpClient;
 import org.fennelstage.id.BackendServerId;
 import org.fennelstage.store.ManualStore;
-import org.fennelstage.store.StoreAnswer;
+import org.fennelstage.store.StoreResult;
 import org.fennelstage.store.StoredValue;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -49,7 +49,7 @@
         feed.writeDue();
         feed.writeDue();
         assertThat(store.waiting()).hasSize(1);
-        store.answer(new StoreAnswer.Done<>(null));
+        store.answer(new StoreResult.Done<>(null));
         feed.writeDue();
         assertThat(store.waiting()).isEmpty();
     }
@@ -69,7 +69,7 @@
     void aWriteThatFailsIsMadeAgainAfterAPause() {
         crashes.quarantine(CONTENT, "test");
         feed.writeDue();
-        store.answer(new StoreAnswer.Unavailable<>(true, "no answer"));
+        store.answer(new StoreResult.Unavailable<>(true, "no answer"));
         feed.writeDue();
         assertThat(store.waiting()).isEmpty();
         now.addAndGet(1_000);
@@ -94,7 +94,7 @@
         assertThat(store.waiting()).hasSize(1);
         feed.onAll(List.of(stored(Optional.of(CONTENT))));
         assertThat(crashes.quarantine().left(CONTENT)).isEmpty();
-        store.answer(new StoreAnswer.Done<>(null));
+        store.answer(new StoreResult.Done<>(null));
         feed.onChange(stored(Optional.empty()));
         feed.writeDue();
         assertThat(store.waiting()).isEmpty();
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/RolloutFeedTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/RolloutFeedTest.java
@@ -15,7 +15,7 @@
 import org.fennelstage.id.BackendServerId;
 import org.fennelstage.id.ServiceName;
 import org.fennelstage.store.ManualStore;
-import org.fennelstage.store.StoreAnswer;
+import org.fennelstage.store.StoreResult;
 import org.fennelstage.store.StoredValue;
 import org.junit.jupiter.api.Test;
 
@@ -62,7 +62,7 @@
         now.addAndGet(1);
         feed.writeDue();
         assertThat(store.waiting()).hasSize(1);
-        store.answer(new StoreAnswer.Done<>(null));
+        store.answer(new StoreResult.Done<>(null));
 
         feed.onAll(order(RolloutPhase.IN_PROGRESS, 6));
         now.addAndGet(1_000);
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/ServerFeedTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/ServerFeedTest.java
@@ -58,9 +58,9 @@
     @Test
     void anEntryThatIsGoneAfterOnlyTheWayToTheStoreWasLostIsDroppedAtOnce() {
         feed.onAll(List.of(entry("i-1"), entry("i-2")));
-        feed.onLost();
+        feed.onStoreCallFailed();
         now.addAndGet(1_100);
-        feed.onBack();
+        feed.onStoreAvailable();
         feed.onAll(List.of(entry("i-2")));
         assertThat(usable()).containsExactly("i-2");
     }
@@ -72,11 +72,11 @@
     @Test
     void anEntryThatIsGoneAfterTheStoreWasAwayIsKeptCountedFromTheFirstCallThatFailed() {
         feed.onAll(List.of(entry("i-1"), entry("i-2")));
-        feed.onLost();
+        feed.onStoreCallFailed();
         now.addAndGet(800);
-        feed.onAway();
+        feed.onStoreUnavailable();
         now.addAndGet(300);
-        feed.onBack();
+        feed.onStoreAvailable();
         feed.onAll(List.of(entry("i-2")));
         assertThat(usable()).containsExactly("i-1", "i-2");
         now.addAndGet(2_200);
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/StartingFleetTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/StartingFleetTest.java
@@ -17,8 +17,8 @@
 import org.fennelstage.store.Follower;
 import org.fennelstage.store.ManualStore;
 import org.fennelstage.store.Page;
-import org.fennelstage.store.StoreAnswer;
 import org.fennelstage.store.StoreKind;
+import org.fennelstage.store.StoreResult;
 import org.fennelstage.store.StoredValue;
 import org.fennelstage.store.WatchPace;
 import org.junit.jupiter.api.Test;
@@ -34,7 +34,7 @@
 
     private final EmbeddedChannel channel = new EmbeddedChannel();
     private final AtomicInteger calls = new AtomicInteger();
-    private final List<Consumer<StoreAnswer<Page<ServerEntry>>>> watches = new ArrayList<>();
+    private final List<Consumer<StoreResult<Page<ServerEntry>>>> watches = new ArrayList<>();
     private long revision = 1;
 
     private final class CountingStore extends ManualStore {
@@ -44,7 +44,7 @@
         public <T> void list(
                 final StoreKind<T> kind,
                 final Optional<String> after,
-                final Consumer<StoreAnswer<Page<T>>> answer) {
+                final Consumer<StoreResult<Page<T>>> answer) {
             calls.incrementAndGet();
             ((Consumer) answer).accept(page(List.of()));
         }
@@ -55,7 +55,7 @@
                 final StoreKind<T> kind,
                 final Position since,
                 final Duration wait,
-                final Consumer<StoreAnswer<Page<T>>> answer) {
+                final Consumer<StoreResult<Page<T>>> answer) {
             calls.incrementAndGet();
             if (since.revision() < revision) {
                 ((Consumer) answer).accept(page(List.of(change())));
@@ -65,8 +65,8 @@
         }
     }
 
-    private StoreAnswer<Page<ServerEntry>> page(final List<StoredValue<ServerEntry>> values) {
-        return new StoreAnswer.Done<>(
+    private StoreResult<Page<ServerEntry>> page(final List<StoredValue<ServerEntry>> values) {
+        return new StoreResult.Done<>(
                 new Page<>(values, Optional.empty(), Position.of(0, revision)));
     }
 
@@ -98,7 +98,7 @@
 
     private void register() {
         revision++;
-        final List<Consumer<StoreAnswer<Page<ServerEntry>>>> waiting = List.copyOf(watches);
+        final List<Consumer<StoreResult<Page<ServerEntry>>>> waiting = List.copyOf(watches);
         watches.clear();
         waiting.forEach(watch -> watch.accept(page(List.of(change()))));
     }
