--- a/fennelstage-gateway/src/main/java/org/fennelstage/store/CoalescedStore.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/store/CoalescedStore.java
@@ -21,89 +21,88 @@
 import org.fennelstage.time.MonotonicClock;
 
 /**
- * The store as one VM of the data centre reaches it for all of them, and the store itself while
- * that VM fails.
+ * Routes lists and watches through one VM of the data centre, the relay, and falls back to direct
+ * calls when the relay fails.
  *
- * <p>Each call to the store is paid for, and each change ends a watch of every VM that watches by
- * itself. All VMs of a data centre therefore ask the same VM, which makes calls that are alike only
- * once. The answers are the store's own, so nothing has to be reconciled.
+ * <p>Calls to the store cost money, and each change ends the watch of every VM that watches the
+ * store directly. All VMs of a data centre therefore call the same relay, which merges equal calls
+ * into one.
  *
- * <p>A VM that stands still or is cut off answers nothing and breaks no connection; those that
- * depend on it would miss what the store tells everybody else. The watch on the configuration is
- * therefore kept short through another VM: when it is not answered in time, that VM is left out and
- * all other calls that wait for it fail at once. A VM that only cannot carry an answer to all who
- * asked is well: taken for one that fails, each change of a large configuration would make all VMs
- * leave it and list anew at the next, and the configuration would be old for longer than it may be.
- * Invariant: every call gets exactly one answer. Confined to one event loop.
+ * <p>A VM that hangs or is partitioned neither responds nor closes its connections. The watch on
+ * the configuration is therefore kept short when it goes through a relay: if it times out, the
+ * relay is paused and all other watches that wait for it fail at once. {@link StoreResult.TooLarge}
+ * is not a failure of the relay; otherwise each change of a large configuration would make all VMs
+ * switch relays and list every kind again.
+ *
+ * <p>Invariant: every call gets exactly one result. Not thread-safe; confined to one event loop.
  */
 public final class CoalescedStore implements Store {
 
     /**
-     * What is left of the time that news may take, when the watch on the configuration through
-     * another VM ends unanswered: 0.8 s until that shows, some hundred milliseconds to list anew,
-     * and as much again.
+     * The part of the maximum propagation delay that remains after the watch on the configuration
+     * ends: it covers detecting a relay that does not respond and listing again.
      */
-    private static final Duration RESERVE = Duration.ofMillis(1_300);
+    private static final Duration RECOVERY_RESERVE = Duration.ofMillis(1_300);
 
-    /** Below this the watch would cost more calls than it saves. */
-    private static final Duration SHORTEST_WATCH = Duration.ofMillis(500);
+    /** A shorter watch would cause more calls than the relay saves. */
+    private static final Duration MIN_WATCH = Duration.ofMillis(500);
 
-    /** How long a VM that failed is not asked; milliseconds. Restarts and freezes take seconds. */
+    /** Pause of a relay after its first failure; milliseconds. */
     static final long PAUSE_MILLIS = 5_000;
 
-    /** How often in a row the pause doubles for a VM that never answers; it may be gone. */
-    private static final int MOST_DOUBLINGS = 4;
+    /** Bounds the exponential growth of the pause of a relay that keeps failing. */
+    private static final int MAX_DOUBLINGS = 4;
 
     /**
-     * How long lists are asked of the store itself after a VM kept silent or could not carry an
-     * answer to all; milliseconds. After a silence most of the time that news may take is spent
-     * then, and the next VM may be as silent: a cut takes many at once. Asked of it, the list could
-     * wait for another time-out, longer in all than news may take.
+     * How long lists go directly to the store after a relay timed out or returned {@link
+     * StoreResult.TooLarge}; milliseconds. A partition may affect several relays at once, and a
+     * second timeout would exceed the maximum propagation delay.
      */
     static final long DIRECT_MILLIS = 1_000;
 
-    /** A watch that waits at another VM. */
+    /** A pending watch at a relay. */
     private final class Watch<T> {
         private final Store relay;
         private final long endsAtMillis;
-        private final Consumer<StoreResult<Page<T>>> answer;
+        private final Consumer<StoreResult<Page<T>>> callback;
 
         private Watch(
                 final Store relay,
                 final Duration wait,
-                final Consumer<StoreResult<Page<T>>> answer) {
+                final Consumer<StoreResult<Page<T>>> callback) {
             this.relay = relay;
             this.endsAtMillis = clock.millis() + wait.toMillis();
-            this.answer = answer;
+            this.callback = callback;
         }
 
-        private void onAnswer(final StoreResult<Page<T>> result) {
+        private void onResult(final StoreResult<Page<T>> result) {
             if (!watches.remove(this)) {
                 return;
             }
             if (result instanceof StoreResult.TooLarge<Page<T>>) {
-                askStoreForLists();
+                useStoreForLists();
             }
             if (result instanceof StoreResult.Unavailable<Page<T>> unavailable) {
                 if (clock.millis() >= endsAtMillis) {
-                    askStoreForLists();
+                    useStoreForLists();
                 }
                 onFailed(relay, unavailable.detail());
             } else {
                 failures.remove(relay);
             }
-            answer.accept(result);
+            callback.accept(result);
         }
 
         private void fail() {
-            answer.accept(new StoreResult.Unavailable<>(false, "the VM that was asked failed"));
+            callback.accept(
+                    new StoreResult.Unavailable<>(false, "another call to the same relay failed"));
         }
     }
 
     private final Store direct;
     private final Supplier<List<Store>> relays;
     private final MonotonicClock clock;
-    private final Supplier<Duration> newsDelay;
+    private final Supplier<Duration> maxPropagationDelay;
     private final Set<Watch<?>> watches = new LinkedHashSet<>();
     private final Map<Store, Long> pausedUntilMillis = new HashMap<>();
     private final Map<Store, Integer> failures = new HashMap<>();
@@ -112,32 +111,34 @@
     /**
      * Creates the store.
      *
-     * @param direct the store as this VM reaches it by itself
-     * @param relays the store as VMs of the data centre reach it, in an order on which all of them
-     *     agree; empty while each VM is to ask by itself
-     * @param newsDelay how long news from the store may take to reach this VM
+     * @param direct calls the store directly
+     * @param relays call the store through VMs of the data centre, in an order on which all of its
+     *     VMs agree; empty if each VM is to call the store directly
+     * @param maxPropagationDelay the longest time until this VM applies a change of the
+     *     configuration
      * @param clock the clock
      */
     public CoalescedStore(
             final Store direct,
             final Supplier<List<Store>> relays,
-            final Supplier<Duration> newsDelay,
+            final Supplier<Duration> maxPropagationDelay,
             final MonotonicClock clock) {
         this.direct = Objects.requireNonNull(direct, "direct is null");
         this.relays = Objects.requireNonNull(relays, "relays is null");
         this.clock = Objects.requireNonNull(clock, "clock is null");
-        this.newsDelay = Objects.requireNonNull(newsDelay, "newsDelay is null");
+        this.maxPropagationDelay =
+                Objects.requireNonNull(maxPropagationDelay, "maxPropagationDelay is null");
     }
 
     @Override
     public <T> void list(
             final StoreKind<T> kind,
             final Optional<String> after,
-            final Consumer<StoreResult<Page<T>>> answer) {
+            final Consumer<StoreResult<Page<T>>> callback) {
         final Optional<Store> relay =
                 clock.millis() < directUntilMillis ? Optional.empty() : relay();
         if (relay.isEmpty()) {
-            direct.list(kind, after, answer);
+            direct.list(kind, after, callback);
             return;
         }
         relay.get()
@@ -147,43 +148,44 @@
                         result -> {
                             if (result instanceof StoreResult.Unavailable<Page<T>> unavailable) {
                                 onFailed(relay.get(), unavailable.detail());
-                                direct.list(kind, after, answer);
+                                direct.list(kind, after, callback);
                             } else if (result instanceof StoreResult.TooLarge<Page<T>>) {
-                                direct.list(kind, after, answer);
+                                direct.list(kind, after, callback);
                             } else {
                                 failures.remove(relay.get());
-                                answer.accept(result);
+                                callback.accept(result);
                             }
                         });
     }
 
     @Override
     public <T> void listStale(
-            final StoreKind<T> kind, final Consumer<StoreResult<Page<T>>> answer) {
-        direct.listStale(kind, answer);
+            final StoreKind<T> kind, final Consumer<StoreResult<Page<T>>> callback) {
+        direct.listStale(kind, callback);
     }
 
     /**
      * {@inheritDoc}
      *
-     * <p>A watch that fails at another VM is not made again at the store: one that follows a cut at
-     * once may be deaf to what changed before it, so its caller has to list anew.
+     * <p>A watch that fails at a relay is not repeated at the store: it could miss changes made
+     * before it started, so the code that called has to list again.
      */
     @Override
     public <T> void watch(
             final StoreKind<T> kind,
             final Position since,
             final Duration wait,
-            final Consumer<StoreResult<Page<T>>> answer) {
+            final Consumer<StoreResult<Page<T>>> callback) {
         final Optional<Store> relay = relay();
         if (relay.isEmpty()) {
-            direct.watch(kind, since, wait, answer);
+            direct.watch(kind, since, wait, callback);
             return;
         }
-        final Duration relayed = kind.equals(StoreKind.CONFIGURATION) ? livenessWatch() : wait;
-        final Watch<T> watch = new Watch<>(relay.get(), relayed, answer);
+        final Duration relayedWait =
+                kind.equals(StoreKind.CONFIGURATION) ? configurationWatchTime() : wait;
+        final Watch<T> watch = new Watch<>(relay.get(), relayedWait, callback);
         watches.add(watch);
-        relay.get().watch(kind, since, relayed, watch::onAnswer);
+        relay.get().watch(kind, since, relayedWait, watch::onResult);
     }
 
     @Override
@@ -191,30 +193,30 @@
             final RolloutOrder order,
             final RolloutPhase phase,
             final Instant begunAt,
-            final Consumer<StoreResult<Void>> answer) {
-        direct.writePhase(order, phase, begunAt, answer);
+            final Consumer<StoreResult<Void>> callback) {
+        direct.writePhase(order, phase, begunAt, callback);
     }
 
     @Override
-    public void writeVm(final VmEntry entry, final Consumer<StoreResult<Void>> answer) {
-        direct.writeVm(entry, answer);
+    public void writeVm(final VmEntry entry, final Consumer<StoreResult<Void>> callback) {
+        direct.writeVm(entry, callback);
     }
 
     @Override
     public void writeQuarantine(
-            final Fingerprint content, final Consumer<StoreResult<Void>> answer) {
-        direct.writeQuarantine(content, answer);
+            final Fingerprint content, final Consumer<StoreResult<Void>> callback) {
+        direct.writeQuarantine(content, callback);
     }
 
     @Override
     public void deleteQuarantine(
-            final Fingerprint content, final Consumer<StoreResult<Void>> answer) {
-        direct.deleteQuarantine(content, answer);
+            final Fingerprint content, final Consumer<StoreResult<Void>> callback) {
+        direct.deleteQuarantine(content, callback);
     }
 
-    private Duration livenessWatch() {
-        final Duration longest = newsDelay.get().minus(RESERVE);
-        return longest.compareTo(SHORTEST_WATCH) < 0 ? SHORTEST_WATCH : longest;
+    private Duration configurationWatchTime() {
+        final Duration available = maxPropagationDelay.get().minus(RECOVERY_RESERVE);
+        return available.compareTo(MIN_WATCH) < 0 ? MIN_WATCH : available;
     }
 
     private Optional<Store> relay() {
@@ -224,15 +226,15 @@
                 .findFirst();
     }
 
-    private void askStoreForLists() {
+    private void useStoreForLists() {
         directUntilMillis = clock.millis() + DIRECT_MILLIS;
     }
 
     private void onFailed(final Store relay, final String detail) {
-        final int before = failures.merge(relay, 1, Integer::sum) - 1;
-        final long pause = PAUSE_MILLIS << Math.min(before, MOST_DOUBLINGS);
+        final int priorFailures = failures.merge(relay, 1, Integer::sum) - 1;
+        final long pause = PAUSE_MILLIS << Math.min(priorFailures, MAX_DOUBLINGS);
         pausedUntilMillis.put(relay, clock.millis() + pause);
-        forgetVmsThatAreGone();
+        removeAbsentRelays();
         EventLog.write(Event.RELAY_FAILED, "relay", relay, "detail", detail, "pause_ms", pause);
         final List<Watch<?>> waiting = new ArrayList<>(watches);
         for (final Watch<?> watch : waiting) {
@@ -242,7 +244,7 @@
         }
     }
 
-    private void forgetVmsThatAreGone() {
+    private void removeAbsentRelays() {
         final Set<Store> present = Set.copyOf(relays.get());
         pausedUntilMillis.keySet().retainAll(present);
         failures.keySet().retainAll(present);
--- a/fennelstage-gateway/src/main/java/org/fennelstage/store/EraTracker.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/store/EraTracker.java
@@ -8,25 +8,24 @@
 import org.fennelstage.log.EventLog;
 
 /**
- * The newest era of the store that this VM has seen, whichever call brought it.
+ * Tracks the newest era of the store that any call of this VM has returned.
  *
- * <p>Each follower learns of a new era from its own answers, and the watch on workers may wait for
- * ten seconds: until then a worker that left would get requests. So the first answer of a new era
- * tells all.
+ * <p>The first result of a new era notifies all followers at once. A follower that learned of the
+ * new era only from its own watch would use outdated state until that watch ends.
  *
- * <p>Law: the era never falls, and each listener hears of each rise once, in the order of the
- * listeners. Confined to one event loop.
+ * <p>Invariant: the era never decreases, and each listener is called once per new era, in order of
+ * registration. Not thread-safe; confined to one event loop.
  */
 public final class EraTracker {
 
     private final List<Runnable> listeners = new ArrayList<>();
     private Position newest = Position.NONE;
-    private long rises;
+    private long restoreCount;
 
     private EraTracker() {}
 
     /**
-     * Returns a tracker that knows no era yet.
+     * Returns a tracker without a known era.
      *
      * @return the tracker
      */
@@ -35,41 +34,41 @@
     }
 
     /**
-     * Adds what runs when the store has come back from an older copy.
+     * Adds a listener that runs when the store was restored from an older copy.
      *
-     * @param listener runs after the new era is known here
+     * @param listener runs after {@link #era} returns the new era
      */
     public void onNewEra(final Runnable listener) {
         listeners.add(Objects.requireNonNull(listener, "listener is null"));
     }
 
     /**
-     * Notes where in the store's history an answer was given.
+     * Records the position of a result of the store.
      *
      * @param position the position
-     * @param kind what was asked for, for the log
-     * @return false if the answer is of an era that has ended and says nothing of the present one
+     * @param kind the kind that was read, for the log
+     * @return false if the result is of a former era and has to be discarded
      */
     public boolean offer(final Position position, final StoreKind<?> kind) {
         if (position.isOfFormerEra(newest)) {
             return false;
         }
         final Position before = newest;
-        final boolean rises = !before.equals(Position.NONE) && before.isOfFormerEra(position);
+        final boolean newEra = !before.equals(Position.NONE) && before.isOfFormerEra(position);
         if (before.compareTo(position) < 0) {
             newest = position;
         }
-        if (rises) {
-            onRisen(before, kind);
+        if (newEra) {
+            notifyListeners(before, kind);
         }
         return true;
     }
 
     /**
-     * Tells whether something was said in an era that has ended.
+     * Tells whether a position is of a former era.
      *
-     * @param position where it was said
-     * @return true if a later era is known
+     * @param position the position
+     * @return true if a newer era is known
      */
     public boolean isOfFormerEra(final Position position) {
         return position.isOfFormerEra(newest);
@@ -78,25 +77,33 @@
     /**
      * Returns the newest era.
      *
-     * @return the era, -1 before the first answer
+     * @return the era, -1 before the first result
      */
     public long era() {
         return newest.era();
     }
 
     /**
-     * Returns how often the store was seen to come back from a copy.
+     * Returns how often this VM observed that the store was restored from an older copy.
      *
      * @return the count since this VM's start
      */
     public long restoreCount() {
-        return rises;
+        return restoreCount;
     }
 
-    private void onRisen(final Position before, final StoreKind<?> kind) {
-        rises++;
+    private void notifyListeners(final Position before, final StoreKind<?> kind) {
+        restoreCount++;
         EventLog.write(
-                Event.STORE_REPLACED, "kind", kind, "had", before, "got", newest, "rises", rises);
+                Event.STORE_REPLACED,
+                "kind",
+                kind,
+                "had",
+                before,
+                "got",
+                newest,
+                "rises",
+                restoreCount);
         listeners.forEach(Runnable::run);
     }
 
--- a/fennelstage-gateway/src/main/java/org/fennelstage/store/FallbackStore.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/store/FallbackStore.java
@@ -19,58 +19,60 @@
 import org.fennelstage.time.MonotonicClock;
 
 /**
- * The store itself while it answers this VM, and the store as other VMs reach it while it does not.
+ * Calls the store directly while it is available to this VM, and through other VMs, the relays,
+ * while it is not.
  *
- * <p>The store may turn single VMs away, by an error, a reset or silence, and serve all others.
- * Such a VM would go on with old keys and routes while the rest of the fleet has new ones. Another
- * VM passes its calls on; the answers are the store's own, so nothing has to be reconciled.
+ * <p>The store may be unavailable to single VMs, by errors, resets or timeouts, while it serves all
+ * others. Such a VM would otherwise keep outdated keys and routes.
  *
- * <p>A store that keeps silent is noticed by the first call that times out. All other calls that
- * wait for it fail at that moment; each would otherwise find out for itself, the longest watch
- * last. Invariant: every call gets exactly one answer. Confined to one event loop.
+ * <p>When one direct call fails, all pending direct calls fail with it, so that a long watch does
+ * not wait for its own timeout.
+ *
+ * <p>Invariant: every call gets exactly one result. Not thread-safe; confined to one event loop.
  */
 public final class FallbackStore implements Store {
 
-    /** How long the store is not asked after it failed, while a relay answers; milliseconds. */
+    /** How long calls avoid the store after a failure, if there are relays; milliseconds. */
     private static final long RETRY_MILLIS = 1_500;
 
-    /** Relays asked for one call. More failures mean that the store is away for all. */
-    private static final int MOST_RELAYS = 3;
+    /** Relays tried for one call. If all fail, the store is unavailable to all VMs. */
+    private static final int MAX_RELAYS = 3;
 
-    /** A call of some kind, to be made at any store. */
+    /** A call that can be made directly or through a relay. */
     @FunctionalInterface
     private interface Call<T> {
-        void make(Store store, Consumer<StoreResult<T>> answer);
+        void make(Store store, Consumer<StoreResult<T>> callback);
     }
 
-    /** A call that waits for the store itself. */
+    /** A pending direct call. */
     private final class Pending<T> {
         private final Call<T> call;
-        private final Consumer<StoreResult<T>> answer;
-        private boolean ended;
+        private final Consumer<StoreResult<T>> callback;
+        private boolean completed;
 
-        private Pending(final Call<T> call, final Consumer<StoreResult<T>> answer) {
+        private Pending(final Call<T> call, final Consumer<StoreResult<T>> callback) {
             this.call = call;
-            this.answer = answer;
+            this.callback = callback;
         }
 
-        private void onAnswer(final StoreResult<T> result) {
-            if (ended) {
+        private void onResult(final StoreResult<T> result) {
+            if (completed) {
                 return;
             }
             pending.remove(this);
             if (result instanceof StoreResult.Unavailable<T> unavailable) {
                 onStoreFailed(unavailable.detail());
-                askRelay(call, relays.get(), 0, result, answer);
+                callRelay(call, relays.get(), 0, result, callback);
             } else {
-                onStoreAnswered();
-                answer.accept(result);
+                onStoreResponded();
+                callback.accept(result);
             }
         }
 
         private void fail() {
-            ended = true;
-            answer.accept(new StoreResult.Unavailable<>(true, "another call to the store failed"));
+            completed = true;
+            callback.accept(
+                    new StoreResult.Unavailable<>(true, "another call to the store failed"));
         }
     }
 
@@ -84,8 +86,8 @@
     /**
      * Creates the store.
      *
-     * @param store the store itself
-     * @param relays the store as other VMs reach it, the best first
+     * @param store calls the store directly
+     * @param relays call the store through other VMs, the preferred one first
      * @param clock the clock
      */
     public FallbackStore(
@@ -99,14 +101,14 @@
     public <T> void list(
             final StoreKind<T> kind,
             final Optional<String> after,
-            final Consumer<StoreResult<Page<T>>> answer) {
-        call((s, a) -> s.list(kind, after, a), answer);
+            final Consumer<StoreResult<Page<T>>> callback) {
+        call((s, c) -> s.list(kind, after, c), callback);
     }
 
     @Override
     public <T> void listStale(
-            final StoreKind<T> kind, final Consumer<StoreResult<Page<T>>> answer) {
-        call((s, a) -> s.listStale(kind, a), answer);
+            final StoreKind<T> kind, final Consumer<StoreResult<Page<T>>> callback) {
+        call((s, c) -> s.listStale(kind, c), callback);
     }
 
     @Override
@@ -114,8 +116,8 @@
             final StoreKind<T> kind,
             final Position since,
             final Duration wait,
-            final Consumer<StoreResult<Page<T>>> answer) {
-        call((s, a) -> s.watch(kind, since, wait, a), answer);
+            final Consumer<StoreResult<Page<T>>> callback) {
+        call((s, c) -> s.watch(kind, since, wait, c), callback);
     }
 
     @Override
@@ -123,32 +125,33 @@
             final RolloutOrder order,
             final RolloutPhase phase,
             final Instant begunAt,
-            final Consumer<StoreResult<Void>> answer) {
-        call((s, a) -> s.writePhase(order, phase, begunAt, a), answer);
+            final Consumer<StoreResult<Void>> callback) {
+        call((s, c) -> s.writePhase(order, phase, begunAt, c), callback);
     }
 
     @Override
-    public void writeVm(final VmEntry entry, final Consumer<StoreResult<Void>> answer) {
-        call((s, a) -> s.writeVm(entry, a), answer);
+    public void writeVm(final VmEntry entry, final Consumer<StoreResult<Void>> callback) {
+        call((s, c) -> s.writeVm(entry, c), callback);
     }
 
     @Override
     public void writeQuarantine(
-            final Fingerprint content, final Consumer<StoreResult<Void>> answer) {
-        call((s, a) -> s.writeQuarantine(content, a), answer);
+            final Fingerprint content, final Consumer<StoreResult<Void>> callback) {
+        call((s, c) -> s.writeQuarantine(content, c), callback);
     }
 
     @Override
     public void deleteQuarantine(
-            final Fingerprint content, final Consumer<StoreResult<Void>> answer) {
-        call((s, a) -> s.deleteQuarantine(content, a), answer);
+            final Fingerprint content, final Consumer<StoreResult<Void>> callback) {
+        call((s, c) -> s.deleteQuarantine(content, c), callback);
     }
 
     /**
-     * Tells whether a call of another VM may be passed on to the store. While the store does not
-     * answer this VM, one call after each pause finds out whether it does again.
+     * Tells whether this VM may relay a call of another VM to the store. While the store is
+     * unavailable to this VM, one call after each pause is allowed as a probe. Each probe restarts
+     * the pause.
      *
-     * @return false if the call would be made in vain
+     * @return false if the call is expected to fail
      */
     public boolean mayRelay() {
         if (!failed) {
@@ -161,51 +164,56 @@
         return true;
     }
 
-    /** Notes that the store answered a call of another VM. */
+    /** Records that the store responded to a relayed call of another VM. */
     public void onRelayed() {
-        onStoreAnswered();
+        onStoreResponded();
     }
 
     /**
-     * Notes that the store did not answer a call of another VM.
+     * Records that a relayed call of another VM failed at the store.
      *
-     * @param detail what was seen
+     * @param detail the cause, for the log
      */
     public void onRelayFailed(final String detail) {
         onStoreFailed(detail);
     }
 
-    private <T> void call(final Call<T> call, final Consumer<StoreResult<T>> answer) {
+    private <T> void call(final Call<T> call, final Consumer<StoreResult<T>> callback) {
         final List<Store> others = relays.get();
         if (failed && clock.millis() < retryAtMillis && !others.isEmpty()) {
-            askRelay(call, others, 0, new StoreResult.Unavailable<>(false, "not asked"), answer);
+            callRelay(
+                    call,
+                    others,
+                    0,
+                    new StoreResult.Unavailable<>(false, "store is unavailable to this VM"),
+                    callback);
             return;
         }
-        final Pending<T> waiting = new Pending<>(call, answer);
+        final Pending<T> waiting = new Pending<>(call, callback);
         pending.add(waiting);
-        call.make(store, waiting::onAnswer);
+        call.make(store, waiting::onResult);
     }
 
-    private <T> void askRelay(
+    private <T> void callRelay(
             final Call<T> call,
             final List<Store> others,
-            final int asked,
-            final StoreResult<T> last,
-            final Consumer<StoreResult<T>> answer) {
-        if (asked >= others.size() || asked >= MOST_RELAYS) {
-            answer.accept(last);
+            final int tried,
+            final StoreResult<T> lastResult,
+            final Consumer<StoreResult<T>> callback) {
+        if (tried >= others.size() || tried >= MAX_RELAYS) {
+            callback.accept(lastResult);
             return;
         }
         call.make(
-                others.get(asked),
+                others.get(tried),
                 result -> {
-                    final boolean noAnswer =
+                    final boolean tryNext =
                             result instanceof StoreResult.Unavailable<T>
                                     || result instanceof StoreResult.TooLarge<T>;
-                    if (noAnswer) {
-                        askRelay(call, others, asked + 1, result, answer);
+                    if (tryNext) {
+                        callRelay(call, others, tried + 1, result, callback);
                     } else {
-                        answer.accept(result);
+                        callback.accept(result);
                     }
                 });
     }
@@ -222,7 +230,7 @@
         waiting.forEach(Pending::fail);
     }
 
-    private void onStoreAnswered() {
+    private void onStoreResponded() {
         if (failed) {
             failed = false;
             EventLog.write(Event.STORE_SERVES, "relays", relays.get().size());
--- a/fennelstage-gateway/src/main/java/org/fennelstage/store/Follower.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/store/Follower.java
@@ -14,73 +14,73 @@
 import org.fennelstage.log.EventLog;
 
 /**
- * Keeps up with the objects of one kind: a list, then one watch after the other.
+ * Follows the objects of one kind: a list, then consecutive watches.
  *
- * <p>A watch may die without a word, or be told that its history is gone; either way the next call
- * finds the state of things. So it is when the store comes back from an older copy: a watch that
- * goes on then skips what was written at revisions that were given out twice, so the objects are
- * listed anew, whatever the watch brings. Invariant: the listener hears of a position only after
- * all that came before it in its era, and never of an older state than it has, but for the first
- * list of a new era. Confined to its event loop.
+ * <p>After a failed watch, a lost history or a new era of the store, the objects are listed again:
+ * a watch that continued could miss changes, since a store that was restored from an older copy
+ * assigns revisions a second time.
  *
- * @param <T> what an object decodes to
+ * <p>Invariant: the listener receives a position only after all changes before it in its era, and
+ * never an older state than the one it has, except for the first list of a new era. Not
+ * thread-safe; confined to its event loop.
+ *
+ * @param <T> the type that objects decode to
  */
 public final class Follower<T> {
 
-    /** Bound of the first wait after a failure; full jitter, so that VMs do not return together. */
+    /** Bound of the first backoff. Full jitter spreads the calls of the VMs. */
     private static final long FIRST_BACKOFF_MILLIS = 50;
 
     /**
-     * Hears of the objects.
+     * Receives the objects and the state of the store.
      *
-     * @param <T> what an object decodes to
+     * @param <T> the type that objects decode to
      */
     public interface Listener<T> {
 
         /**
-         * Takes all objects.
+         * Receives the complete list of valid objects.
          *
          * @param values the objects
          */
         void onAll(List<StoredValue<T>> values);
 
         /**
-         * Takes one change.
+         * Receives a changed or deleted object.
          *
-         * @param value the object, without content if it was deleted
+         * @param value the object, with an empty value if it was deleted
          */
         void onChange(StoredValue<T> value);
 
         /**
-         * Hears up to which position nothing of this kind was missed.
+         * Receives the position up to which all changes of this kind have been received.
          *
          * @param position the position
          */
         default void onPosition(final Position position) {}
 
         /**
-         * Hears of an object that is there and cannot be understood; after {@link #onAll}, if it
-         * was in a list.
+         * Receives a malformed object; after {@link #onAll}, if it was in a list.
          *
-         * @param value its name and what is wrong with it
+         * @param value its name and problem
          */
         default void onMalformed(final StoredValue<T> value) {}
 
-        /** Hears that a call failed: the store is away, or the way by which it was asked. */
+        /** Called when a call failed; the cause may be the store or a relay. */
         default void onStoreCallFailed() {}
 
         /**
-         * Hears that a list failed too. A list is asked for by every way there is, so this is the
-         * store itself.
+         * Called when a list failed too. Lists are tried directly and through relays, so the store
+         * is unavailable.
          */
         default void onStoreUnavailable() {}
 
-        /** Hears that the store answers again, before the news that it brings. */
+        /** Called when calls succeed again, before the objects are delivered. */
         default void onStoreAvailable() {}
 
         /**
-         * Hears that the store has come back from an older copy, before the first list of the new
-         * era: what was heard may be lost there, and what is listed may be older than it.
+         * Called when the store was restored from an older copy, before the first list of the new
+         * era. The store may have lost changes that were received before.
          */
         default void onStoreRestored() {}
     }
@@ -96,25 +96,25 @@
     private final MalformedObjects malformed;
     private Position position = Position.NONE;
 
-    /** Counts the rounds of list and watches; what an earlier round asked for is not heard. */
+    /** Incremented by each new list; results of calls made in an earlier round are ignored. */
     private int round;
 
     private int failures;
-    private boolean away;
+    private boolean unavailable;
     private boolean refreshing;
     private boolean started;
     private boolean stopped;
 
     /**
-     * Creates a follower; it does nothing before its start.
+     * Creates a follower. It makes no call before {@link #start}.
      *
-     * @param loop runs it
+     * @param loop the event loop that runs it
      * @param store the store
      * @param kind the kind to follow
-     * @param pace how often to call at present; each call is paid for
+     * @param pace the current timing of calls
      * @param random the source of jitter
-     * @param eras the era that all followers of this VM share
-     * @param listener hears of the objects
+     * @param eras the tracker that all followers of this VM share
+     * @param listener receives the objects
      */
     public Follower(
             final EventLoop loop,
@@ -132,25 +132,25 @@
         this.eras = Objects.requireNonNull(eras, "eras is null");
         this.listener = Objects.requireNonNull(listener, "listener is null");
         this.malformed = MalformedObjects.empty(kind.toString());
-        eras.onNewEra(this::onStoreRestored);
+        eras.onNewEra(this::onNewEra);
     }
 
-    /** Begins to follow. */
+    /** Starts with a list. */
     public void start() {
         started = true;
-        listAnew();
+        restart();
     }
 
-    private void onStoreRestored() {
+    private void onNewEra() {
         listener.onStoreRestored();
         if (started) {
-            listAnew();
+            restart();
         }
     }
 
     /**
-     * Lists the objects beside the watch, so that the listener hears of their present state now and
-     * not when the watch ends. Does nothing while such a list is under way.
+     * Lists the objects concurrently with the watch, so that the listener receives the current
+     * state at once. Does nothing while such a list is pending.
      */
     public void refresh() {
         if (refreshing || stopped) {
@@ -160,33 +160,32 @@
         store.list(kind, Optional.empty(), this::onRefreshed);
     }
 
-    private void onRefreshed(final StoreResult<Page<T>> answer) {
+    private void onRefreshed(final StoreResult<Page<T>> result) {
         refreshing = false;
-        // A failure shows in the watch as well, which lists anew then. A list in parts is left to
-        // it too.
-        if (answer instanceof StoreResult.Done<Page<T>> done
+        // Failures and lists of several pages are left to the watch, which lists again on failure.
+        if (result instanceof StoreResult.Done<Page<T>> done
                 && done.value().next().isEmpty()
-                && isPresent(done.value())) {
-            hearAll(done.value().values());
+                && isCurrentEra(done.value())) {
+            deliverAll(done.value().values());
             listener.onPosition(done.value().position());
         }
     }
 
     /**
-     * Tells whether a page is of the era that this follower has listed. One of a later era makes
-     * all followers list anew, this one too; one of a former era says nothing of the present.
+     * Tells whether a page is of the era that this follower has listed. A page of a newer era makes
+     * all followers list again, including this one.
      */
-    private boolean isPresent(final Page<T> page) {
-        final int before = round;
-        return eras.offer(page.position(), kind) && round == before;
+    private boolean isCurrentEra(final Page<T> page) {
+        final int roundBefore = round;
+        return eras.offer(page.position(), kind) && round == roundBefore;
     }
 
-    /** Makes no further call. */
+    /** Stops following; pending calls are not cancelled. */
     public void stop() {
         stopped = true;
     }
 
-    private void listAnew() {
+    private void restart() {
         if (!stopped) {
             round++;
             listed.clear();
@@ -195,26 +194,26 @@
     }
 
     private void list(final Optional<String> after) {
-        final int asked = round;
+        final int callRound = round;
         store.list(
                 kind,
                 after,
-                answer -> {
-                    if (asked == round) {
-                        onListed(answer);
+                result -> {
+                    if (callRound == round) {
+                        onListed(result);
                     }
                 });
     }
 
-    private void onListed(final StoreResult<Page<T>> answer) {
-        if (!(answer instanceof StoreResult.Done<Page<T>> done)) {
-            retry(describe(answer));
+    private void onListed(final StoreResult<Page<T>> result) {
+        if (!(result instanceof StoreResult.Done<Page<T>> done)) {
+            retry(describe(result));
             onListFailed();
             return;
         }
         final Page<T> page = done.value();
-        if (!isPresent(page)) {
-            listAgainIfOld(page);
+        if (!isCurrentEra(page)) {
+            retryIfFormerEra(page);
             return;
         }
         onSuccess();
@@ -224,21 +223,21 @@
             return;
         }
         position = page.position();
-        hearAll(List.copyOf(listed));
+        deliverAll(List.copyOf(listed));
         listed.clear();
         listener.onPosition(position);
         watchAfter(pace.get().listPause());
     }
 
-    /** A VM that lags passed an answer of a former era on: asked again after a pause. */
-    private void listAgainIfOld(final Page<T> page) {
+    /** A lagging relay returned a result of a former era; lists again after a backoff. */
+    private void retryIfFormerEra(final Page<T> page) {
         if (eras.isOfFormerEra(page.position())) {
-            logStale(page);
-            retry("answer of an era that has ended");
+            logStaleResult(page);
+            retry("result of a former era");
         }
     }
 
-    private void logStale(final Page<T> page) {
+    private void logStaleResult(final Page<T> page) {
         EventLog.write(Event.STALE_ANSWER, "kind", kind, "has", position, "got", page.position());
     }
 
@@ -246,14 +245,14 @@
         if (stopped) {
             return;
         }
-        final int asked = round;
+        final int callRound = round;
         store.watch(
                 kind,
                 position,
                 pace.get().watchTime(),
-                answer -> {
-                    if (asked == round) {
-                        onWatched(answer);
+                result -> {
+                    if (callRound == round) {
+                        onWatched(result);
                     }
                 });
     }
@@ -263,10 +262,10 @@
             watch();
             return;
         }
-        final int asked = round;
+        final int callRound = round;
         loop.schedule(
                 () -> {
-                    if (asked == round) {
+                    if (callRound == round) {
                         watch();
                     }
                 },
@@ -274,35 +273,35 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    private void onWatched(final StoreResult<Page<T>> answer) {
-        if (answer instanceof StoreResult.HistoryGone<Page<T>>) {
+    private void onWatched(final StoreResult<Page<T>> result) {
+        if (result instanceof StoreResult.HistoryGone<Page<T>>) {
             EventLog.write(Event.HISTORY_GONE, "kind", kind, "revision", position);
-            listAnew();
+            restart();
             return;
         }
-        if (answer instanceof StoreResult.TooLarge<Page<T>>) {
-            // A list holds the present state alone. A watch brings every version in between, so
-            // that a VM with a slow link which has fallen behind falls behind further.
-            listAnew();
+        if (result instanceof StoreResult.TooLarge<Page<T>>) {
+            // A list returns only the current state. A watch returns every intermediate version,
+            // which would make a VM with a slow link fall further behind.
+            restart();
             return;
         }
-        if (!(answer instanceof StoreResult.Done<Page<T>> done)) {
-            retry(describe(answer));
+        if (!(result instanceof StoreResult.Done<Page<T>> done)) {
+            retry(describe(result));
             return;
         }
         final Page<T> page = done.value();
-        if (!isPresent(page)) {
-            listAgainIfOld(page);
+        if (!isCurrentEra(page)) {
+            retryIfFormerEra(page);
             return;
         }
         onSuccess();
         if (position.isAfter(page.position())) {
-            logStale(page);
-            listAnew();
+            logStaleResult(page);
+            restart();
             return;
         }
         position = page.position();
-        page.values().forEach(this::hearChange);
+        page.values().forEach(this::deliverChange);
         listener.onPosition(position);
         if (page.values().isEmpty()) {
             watch();
@@ -311,43 +310,49 @@
         }
     }
 
-    private void hearAll(final List<StoredValue<T>> values) {
-        final List<StoredValue<T>> good = new ArrayList<>();
-        final List<StoredValue<T>> bad = new ArrayList<>();
-        values.forEach(value -> (value.problem().isEmpty() ? good : bad).add(value));
-        malformed.keep(values);
-        good.forEach(malformed::note);
-        listener.onAll(good);
-        bad.forEach(this::hearMalformed);
+    private void deliverAll(final List<StoredValue<T>> values) {
+        final List<StoredValue<T>> valid = new ArrayList<>();
+        final List<StoredValue<T>> invalid = new ArrayList<>();
+        values.forEach(value -> (value.problem().isEmpty() ? valid : invalid).add(value));
+        malformed.retain(values);
+        valid.forEach(malformed::update);
+        listener.onAll(valid);
+        invalid.forEach(this::deliverMalformed);
     }
 
-    private void hearChange(final StoredValue<T> value) {
+    private void deliverChange(final StoredValue<T> value) {
         if (value.problem().isPresent()) {
-            hearMalformed(value);
+            deliverMalformed(value);
         } else {
-            malformed.note(value);
+            malformed.update(value);
             listener.onChange(value);
         }
     }
 
-    private void hearMalformed(final StoredValue<T> value) {
-        malformed.note(value);
+    private void deliverMalformed(final StoredValue<T> value) {
+        malformed.update(value);
         listener.onMalformed(value);
     }
 
     private void onSuccess() {
         if (failures > 0) {
             EventLog.write(
-                    Event.STORE_BACK, "kind", kind, "failed_calls", failures, "was_away", away);
+                    Event.STORE_BACK,
+                    "kind",
+                    kind,
+                    "failed_calls",
+                    failures,
+                    "was_away",
+                    unavailable);
             failures = 0;
-            away = false;
+            unavailable = false;
             listener.onStoreAvailable();
         }
     }
 
     private void onListFailed() {
-        if (!away) {
-            away = true;
+        if (!unavailable) {
+            unavailable = true;
             EventLog.write(Event.STORE_AWAY, "kind", kind, "revision", position);
             listener.onStoreUnavailable();
         }
@@ -359,26 +364,26 @@
             EventLog.write(Event.STORE_LOST, "kind", kind, "revision", position, "detail", detail);
             listener.onStoreCallFailed();
         }
-        final long bound =
+        final long maxDelayMillis =
                 Math.min(
                         pace.get().maxBackoff().toMillis(),
                         FIRST_BACKOFF_MILLIS << Math.min(failures - 1, 10));
-        // Listed anew, not watched on: a store that cut its watches may have dropped the changes
-        // that they missed, and a watch that comes in between is deaf to them.
-        final int failed = round;
+        // Lists again instead of resuming the watch: the store may have dropped the changes since
+        // the failed watch, and a resumed watch would miss them.
+        final int failedRound = round;
         loop.schedule(
                 () -> {
-                    if (failed == round) {
-                        listAnew();
+                    if (failedRound == round) {
+                        restart();
                     }
                 },
-                1 + random.nextLong(bound),
+                1 + random.nextLong(maxDelayMillis),
                 TimeUnit.MILLISECONDS);
     }
 
-    private static String describe(final StoreResult<?> answer) {
-        return answer instanceof StoreResult.Unavailable<?> unavailable
-                ? unavailable.detail()
-                : answer.getClass().getSimpleName();
+    private static String describe(final StoreResult<?> result) {
+        return result instanceof StoreResult.Unavailable<?> failure
+                ? failure.detail()
+                : result.getClass().getSimpleName();
     }
 }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/store/MalformedObjects.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/store/MalformedObjects.java
@@ -10,16 +10,16 @@
 import org.fennelstage.log.EventLog;
 
 /**
- * The objects of one kind that cannot be understood, and their log lines.
+ * Tracks the malformed objects of one kind and logs them.
  *
- * <p>A bad object comes again with every list. Law: a line is written when the judgement of an
- * object changes and never otherwise, so that a fleet that lists often does not drown its log.
- * Confined to the event loop.
+ * <p>A malformed object is returned by every list. Invariant: an event is logged only when an
+ * object becomes malformed, its problem changes, or it becomes valid again. Not thread-safe;
+ * confined to the event loop.
  */
 final class MalformedObjects {
 
-    /** Objects remembered; beyond it no line is written, which bounds memory and log alike. */
-    private static final int MOST_KEPT = 1_000;
+    /** Further malformed objects are neither kept nor logged, which bounds memory and log. */
+    private static final int MAX_KEPT = 1_000;
 
     private final String kind;
     private final Map<String, String> problems = new HashMap<>();
@@ -32,8 +32,8 @@
         return new MalformedObjects(Objects.requireNonNull(kind, "kind is null"));
     }
 
-    /** Forgets objects that are not in a complete list. */
-    void keep(final List<? extends StoredValue<?>> present) {
+    /** Removes objects that are absent from a complete list. */
+    void retain(final List<? extends StoredValue<?>> present) {
         if (!problems.isEmpty()) {
             final Set<String> names =
                     present.stream().map(StoredValue::name).collect(Collectors.toSet());
@@ -41,10 +41,10 @@
         }
     }
 
-    /** Notes the present judgement of an object. */
-    void note(final StoredValue<?> value) {
+    /** Records whether an object is malformed and logs a change. */
+    void update(final StoredValue<?> value) {
         if (value.problem().isPresent()) {
-            noteBad(value, value.problem().get());
+            recordMalformed(value, value.problem().get());
         } else if (problems.remove(value.name()) != null) {
             EventLog.write(
                     Event.OBJECT_UNDERSTOOD,
@@ -57,9 +57,9 @@
         }
     }
 
-    private void noteBad(final StoredValue<?> value, final String problem) {
-        final boolean known = problem.equals(problems.get(value.name()));
-        if (known || problems.size() >= MOST_KEPT) {
+    private void recordMalformed(final StoredValue<?> value, final String problem) {
+        final boolean alreadyLogged = problem.equals(problems.get(value.name()));
+        if (alreadyLogged || problems.size() >= MAX_KEPT) {
             return;
         }
         problems.put(value.name(), problem);
--- a/fennelstage-gateway/src/main/java/org/fennelstage/store/Page.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/store/Page.java
@@ -6,12 +6,12 @@
 import org.fennelstage.history.Position;
 
 /**
- * A part of a list, or the changes since a revision. Immutable and thread-safe.
+ * One page of a list, or the changes since a revision. Immutable and thread-safe.
  *
  * @param <T> what an object decodes to
  * @param values the objects
- * @param next where the list goes on, empty if this is its end
- * @param position the point of the store's history that the objects reflect
+ * @param next the name after which the list continues, empty on the last page
+ * @param position the store position that the objects reflect
  */
 public record Page<T>(List<StoredValue<T>> values, Optional<String> next, Position position) {
 
--- a/fennelstage-gateway/src/main/java/org/fennelstage/store/Store.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/store/Store.java
@@ -10,82 +10,86 @@
 import org.fennelstage.history.Position;
 
 /**
- * The store. Each call ends with exactly one answer, on the caller's event loop; no call throws for
- * what the store does.
+ * The external object store with the shared state. Each call passes exactly one result to its
+ * callback, on the event loop of the code that made it; failures of the store are results, not
+ * exceptions.
  *
  * <p>Implementations are confined to one event loop.
  */
 public interface Store {
 
     /**
-     * Lists the objects of a kind as they are now.
+     * Lists the current objects of a kind.
      *
-     * @param <T> what an object decodes to
+     * @param <T> the type that objects decode to
      * @param kind the kind
-     * @param after the name after which the list goes on, empty for its begin
-     * @param answer takes the part of the list
+     * @param after the name after which the list continues, empty for the first page
+     * @param callback receives a page of the list
      */
-    <T> void list(StoreKind<T> kind, Optional<String> after, Consumer<StoreResult<Page<T>>> answer);
+    <T> void list(
+            StoreKind<T> kind, Optional<String> after, Consumer<StoreResult<Page<T>>> callback);
 
     /**
-     * Lists the objects of a kind as they were some seconds ago, at a fraction of the price.
+     * Lists the objects of a kind, possibly some seconds out of date. Costs less than {@link
+     * #list}.
      *
-     * @param <T> what an object decodes to
+     * @param <T> the type that objects decode to
      * @param kind the kind
-     * @param answer takes the first part of the list
+     * @param callback receives the first page of the list
      */
-    <T> void listStale(StoreKind<T> kind, Consumer<StoreResult<Page<T>>> answer);
+    <T> void listStale(StoreKind<T> kind, Consumer<StoreResult<Page<T>>> callback);
 
     /**
-     * Waits for changes of a kind.
+     * Waits for changes to objects of a kind (long poll).
      *
-     * @param <T> what an object decodes to
+     * @param <T> the type that objects decode to
      * @param kind the kind
-     * @param since the position after which changes count
+     * @param since the position after which changes are returned
      * @param wait the longest wait
-     * @param answer takes the changes; none if the wait passed without one
+     * @param callback receives the changes; none if the wait elapsed without a change
      */
     <T> void watch(
             StoreKind<T> kind,
             Position since,
             Duration wait,
-            Consumer<StoreResult<Page<T>>> answer);
+            Consumer<StoreResult<Page<T>>> callback);
 
     /**
-     * Writes how far a roll-out has come, if its object is unchanged.
+     * Writes the phase of a rollout, if the rollout order's object is unchanged (conditional
+     * write).
      *
-     * @param order the order as this VM knows it
+     * @param order the rollout order as known to this VM
      * @param phase the new phase
-     * @param begunAt the time of day at which the roll-out began
-     * @param answer takes the end
+     * @param begunAt the wall-clock time at which the rollout started
+     * @param callback receives the result
      */
     void writePhase(
             RolloutOrder order,
             RolloutPhase phase,
             Instant begunAt,
-            Consumer<StoreResult<Void>> answer);
+            Consumer<StoreResult<Void>> callback);
 
     /**
-     * Enters a VM, or replaces its entry.
+     * Creates or replaces the entry of a VM.
      *
      * @param entry the entry
-     * @param answer takes the end
+     * @param callback receives the result
      */
-    void writeVm(VmEntry entry, Consumer<StoreResult<Void>> answer);
+    void writeVm(VmEntry entry, Consumer<StoreResult<Void>> callback);
 
     /**
-     * Notes that a request is refused, for VMs that start later.
+     * Stores the quarantine of a request, for VMs that start later.
      *
-     * @param content the request
-     * @param answer takes the end; a conflict if it is noted already
+     * @param content the fingerprint of the request
+     * @param callback receives the result; a conflict if the quarantine is already stored
      */
-    void writeQuarantine(Fingerprint content, Consumer<StoreResult<Void>> answer);
+    void writeQuarantine(Fingerprint content, Consumer<StoreResult<Void>> callback);
 
     /**
-     * Notes that a request is refused no longer.
+     * Deletes the quarantine of a request.
      *
-     * @param content the request
-     * @param answer takes the end; a conflict if that is noted already
+     * @param content the fingerprint of the request
+     * @param callback receives the result; a conflict if the quarantine is already deleted
      */
-    void deleteQuarantine(Fingerprint content, Consumer<StoreResult<Void>> answer);
+    void deleteQuarantine(Fingerprint content, Consumer<StoreResult<Void>> callback);
 }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/store/StoreKind.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/store/StoreKind.java
@@ -10,27 +10,27 @@
 /**
  * A kind of objects in the store. Immutable and thread-safe.
  *
- * @param <T> what an object of the kind decodes to
+ * @param <T> the type that objects of the kind decode to
  */
 public final class StoreKind<T> {
 
-    /** The configuration; one object. */
+    /** The serving configuration; a single object. */
     public static final StoreKind<ServingConfiguration> CONFIGURATION =
             new StoreKind<>("configuration");
 
-    /** The workers' entries. */
+    /** The entries of backend servers. */
     public static final StoreKind<ServerEntry> SERVERS = new StoreKind<>("servers");
 
-    /** The operator's orders to move a service to a version. */
+    /** The operators' rollout orders. */
     public static final StoreKind<RolloutOrder> ROLLOUTS = new StoreKind<>("rollouts");
 
-    /** The operator's orders to empty a data centre. */
+    /** The data centres that operators have evacuated. */
     public static final StoreKind<DataCentreId> EVACUATIONS = new StoreKind<>("evacuations");
 
-    /** The VMs of this system. */
+    /** The entries of VMs. */
     public static final StoreKind<VmEntry> VMS = new StoreKind<>("vms");
 
-    /** Requests that are refused since they end their workers, under their fingerprints. */
+    /** Fingerprints of quarantined requests, which crash backend servers. */
     public static final StoreKind<Fingerprint> QUARANTINE = new StoreKind<>("quarantine");
 
     private final String name;
--- a/fennelstage-gateway/src/main/java/org/fennelstage/store/StoreResult.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/store/StoreResult.java
@@ -1,48 +1,48 @@
 package org.fennelstage.store;
 
 /**
- * How a call to the store ended. Implementations are immutable and thread-safe.
+ * The result of a call to the store. Implementations are immutable and thread-safe.
  *
- * @param <T> what a call that succeeds returns
+ * @param <T> the value that a successful call returns
  */
 public sealed interface StoreResult<T> {
 
     /**
-     * The call took effect.
+     * The call succeeded.
      *
-     * @param <T> what it returns
-     * @param value the result
+     * @param <T> the value that the call returns
+     * @param value the value
      */
     record Done<T>(T value) implements StoreResult<T> {}
 
     /**
-     * The store no longer has the history that was asked for.
+     * The store no longer keeps the history since the requested position.
      *
-     * @param <T> what the call would have returned
+     * @param <T> the value that the call would have returned
      */
     record HistoryGone<T>() implements StoreResult<T> {}
 
     /**
-     * The object has another revision; nothing was written.
+     * A conditional write failed: the object has another revision. Nothing was written.
      *
-     * @param <T> what the call would have returned
+     * @param <T> the value that the call would have returned
      */
     record Conflict<T>() implements StoreResult<T> {}
 
     /**
-     * Nothing was done, or nothing is known of what was done.
+     * The call failed, or its outcome is unknown.
      *
-     * @param <T> what the call would have returned
-     * @param mayHaveTakenEffect whether a write may have been done, or may be done later
-     * @param detail why
+     * @param <T> the value that the call would have returned
+     * @param mayHaveTakenEffect whether a write may have taken effect, or may still take effect
+     * @param detail the cause, for the log
      */
     record Unavailable<T>(boolean mayHaveTakenEffect, String detail) implements StoreResult<T> {}
 
     /**
-     * The VM that was asked has the answer, and its link cannot carry it to all who asked; the
-     * store itself is to be asked. That VM is well.
+     * The relay has the response but lacks the bandwidth to send it to every VM that called it. The
+     * call has to be made directly to the store. The relay has not failed.
      *
-     * @param <T> what the call would have returned
+     * @param <T> the value that the call would have returned
      */
     record TooLarge<T>() implements StoreResult<T> {}
 }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/store/StoredValue.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/store/StoredValue.java
@@ -5,13 +5,13 @@
 import org.fennelstage.history.Position;
 
 /**
- * One object, or the news that it is gone. Immutable and thread-safe.
+ * One stored object, or its deletion. Immutable and thread-safe.
  *
  * @param <T> what the object decodes to
  * @param name its name within its kind
- * @param position where in the store's history it was changed last
- * @param value its content, empty if it was deleted or cannot be understood
- * @param problem why the content cannot be understood, empty if it can
+ * @param position the store position of its last change
+ * @param value its content, empty if it was deleted or is malformed
+ * @param problem why the content is malformed, empty if it is valid
  */
 public record StoredValue<T>(
         String name, Position position, Optional<T> value, Optional<String> problem) {
--- a/fennelstage-gateway/src/main/java/org/fennelstage/store/VmEntry.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/store/VmEntry.java
@@ -6,11 +6,11 @@
 import org.fennelstage.id.VmId;
 
 /**
- * A VM of this system, as it entered itself into the store. Immutable and thread-safe.
+ * The entry that a VM writes for itself into the store. Immutable and thread-safe.
  *
  * @param vm its id
- * @param dataCentre where it stands
- * @param address where it listens to other VMs
+ * @param dataCentre the data centre it runs in
+ * @param address the address on which it listens for other VMs
  */
 public record VmEntry(VmId vm, DataCentreId dataCentre, ServerAddress address) {
 
--- a/fennelstage-gateway/src/main/java/org/fennelstage/store/WatchPace.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/store/WatchPace.java
@@ -4,21 +4,20 @@
 import java.util.Objects;
 
 /**
- * How often a follower calls the store. Immutable and thread-safe.
+ * Timing of a follower's calls to the store. Immutable and thread-safe.
  *
- * @param watchTime the longest wait of one watch; a store that keeps silent is noticed only after
- *     it
- * @param pause the pause after a watch that brought changes; changes that come together are then
- *     one call, where each would end a watch of every VM
+ * @param watchTime the longest wait of one watch; a store that does not respond is detected only
+ *     after it
+ * @param pause the pause after a watch that returned changes; it batches changes that occur close
+ *     together into one call
  * @param listPause the pause between a list and the first watch after it
- * @param maxBackoff the longest wait after calls that failed; those made while the store is away
- *     are in vain
+ * @param maxBackoff the longest backoff after failed calls
  */
 public record WatchPace(
         Duration watchTime, Duration pause, Duration listPause, Duration maxBackoff) {
 
-    /** Suits what must be known a moment after the store's return. */
-    private static final Duration SOON = Duration.ofMillis(800);
+    /** Lets followers recover within a second after the store is available again. */
+    private static final Duration DEFAULT_MAX_BACKOFF = Duration.ofMillis(800);
 
     public WatchPace {
         Objects.requireNonNull(watchTime, "watchTime is null");
@@ -28,32 +27,35 @@
     }
 
     /**
-     * Returns a pace.
+     * Returns a pace without a pause after lists and with the default maximum backoff.
      *
-     * @param waitMillis the wait; milliseconds
-     * @param pauseMillis the pause; milliseconds
+     * @param waitMillis the longest wait of one watch; milliseconds
+     * @param pauseMillis the pause after a watch that returned changes; milliseconds
      * @return the pace
      */
     public static WatchPace ofMillis(final long waitMillis, final long pauseMillis) {
         return new WatchPace(
-                Duration.ofMillis(waitMillis), Duration.ofMillis(pauseMillis), Duration.ZERO, SOON);
+                Duration.ofMillis(waitMillis),
+                Duration.ofMillis(pauseMillis),
+                Duration.ZERO,
+                DEFAULT_MAX_BACKOFF);
     }
 
     /**
-     * Returns this pace with another pause between a list and the first watch after it.
+     * Returns a copy with another pause between a list and the first watch after it.
      *
-     * @param newer the pause
-     * @return the pace
+     * @param newListPause the pause
+     * @return the copy
      */
-    public WatchPace withListPause(final Duration newer) {
-        return new WatchPace(watchTime, pause, newer, maxBackoff);
+    public WatchPace withListPause(final Duration newListPause) {
+        return new WatchPace(watchTime, pause, newListPause, maxBackoff);
     }
 
     /**
-     * Returns this pace with another bound of the wait after failures.
+     * Returns a copy with another maximum backoff after failed calls.
      *
-     * @param backoff the longest wait
-     * @return the pace
+     * @param backoff the maximum backoff
+     * @return the copy
      */
     public WatchPace withMaxBackoff(final Duration backoff) {
         return new WatchPace(watchTime, pause, listPause, backoff);
--- a/fennelstage-gateway/src/main/java/org/fennelstage/store/package-info.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/store/package-info.java
@@ -1,2 +1,2 @@
-/** The store that holds what must last: its port, and followers that keep up with its objects. */
+/** Access to the external object store with the shared state, and followers of its objects. */
 package org.fennelstage.store;
--- a/fennelstage-gateway/src/test/java/org/fennelstage/store/CoalescedStoreTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/store/CoalescedStoreTest.java
@@ -15,156 +15,136 @@
 
     private static final StoreResult<Page<VmEntry>> PAGE =
             new StoreResult.Done<>(new Page<>(List.of(), Optional.empty(), Position.of(0, 7)));
-    private static final StoreResult<Page<VmEntry>> AWAY =
+    private static final StoreResult<Page<VmEntry>> UNAVAILABLE =
             new StoreResult.Unavailable<>(false, "503");
 
     private final AtomicLong now = new AtomicLong(1_000_000);
     private final ManualStore direct = new ManualStore();
-    private final ManualStore first = new ManualStore();
-    private final ManualStore second = new ManualStore();
-    private final List<Store> relays = new ArrayList<>(List.of(first, second));
-    private final List<StoreResult<Page<VmEntry>>> answers = new ArrayList<>();
+    private final ManualStore firstRelay = new ManualStore();
+    private final ManualStore secondRelay = new ManualStore();
+    private final List<Store> relays = new ArrayList<>(List.of(firstRelay, secondRelay));
+    private final List<StoreResult<Page<VmEntry>>> results = new ArrayList<>();
     private final CoalescedStore store =
             new CoalescedStore(direct, () -> relays, () -> Duration.ofSeconds(3), now::get);
 
     private void list() {
-        store.list(StoreKind.VMS, Optional.empty(), answers::add);
+        store.list(StoreKind.VMS, Optional.empty(), results::add);
     }
 
     private void watch() {
-        store.watch(StoreKind.VMS, Position.of(0, 7), Duration.ofSeconds(10), answers::add);
+        store.watch(StoreKind.VMS, Position.of(0, 7), Duration.ofSeconds(10), results::add);
     }
 
     @Test
-    void readsGoThroughTheFirstVmOfTheDataCentre() {
+    void listsAndWatchesGoThroughTheFirstRelay() {
         list();
         watch();
-        first.answer(PAGE);
-        first.answer(PAGE);
-        assertThat(answers).containsExactly(PAGE, PAGE);
+        firstRelay.answer(PAGE);
+        firstRelay.answer(PAGE);
+        assertThat(results).containsExactly(PAGE, PAGE);
         assertThat(direct.waiting()).isEmpty();
     }
 
     @Test
-    void withoutOtherVmsTheStoreItselfIsAsked() {
+    void storeIsCalledDirectlyWithoutRelays() {
         relays.clear();
         list();
         watch();
         direct.answer(PAGE);
         direct.answer(PAGE);
-        assertThat(answers).containsExactly(PAGE, PAGE);
+        assertThat(results).containsExactly(PAGE, PAGE);
     }
 
-    /**
-     * Symptom: all VMs of a data centre miss a change of routes. Events: the VM that asks for them
-     * stands still; its connections stay open. Cause: each watch waited for its own end.
-     */
+    /** Guards against watches that keep waiting for a relay which hangs with open connections. */
     @Test
-    void whenOneCallToAVmFailsAllWatchesThereFailAndTheNextVmIsAsked() {
+    void oneFailedCallFailsAllWatchesAtThatRelayAndTheNextRelayIsCalled() {
         watch();
         watch();
-        first.answer(AWAY);
-        assertThat(answers).hasSize(2).allMatch(a -> a instanceof StoreResult.Unavailable);
+        firstRelay.answer(UNAVAILABLE);
+        assertThat(results).hasSize(2).allMatch(r -> r instanceof StoreResult.Unavailable);
         list();
-        second.answer(PAGE);
-        assertThat(answers).hasSize(3).last().isEqualTo(PAGE);
+        secondRelay.answer(PAGE);
+        assertThat(results).hasSize(3).last().isEqualTo(PAGE);
         assertThat(direct.waiting()).isEmpty();
     }
 
-    /**
-     * Symptom: a VM hears 3.3 s late that a worker leaves, where 3 s are allowed. Events: the VM
-     * that asks for its data centre stands still, which shows after 2.5 s; the next one does too,
-     * and the list asked of it waits for another 0.8 s. Cause: the whole time was spent on other
-     * VMs.
-     */
+    /** Guards against a second timeout, at the next relay, that exceeds the propagation delay. */
     @Test
-    void afterAVmKeptSilentTheListIsAskedOfTheStoreItselfAndWatchesOfTheNextVm() {
+    void afterARelayTimesOutListsGoToTheStoreAndWatchesToTheNextRelay() {
         store.watch(
-                StoreKind.CONFIGURATION, Position.of(0, 7), Duration.ofSeconds(10), answer -> {});
+                StoreKind.CONFIGURATION, Position.of(0, 7), Duration.ofSeconds(10), result -> {});
         now.addAndGet(2_500);
-        first.answer(AWAY);
+        firstRelay.answer(UNAVAILABLE);
         list();
         direct.answer(PAGE);
-        assertThat(answers).containsExactly(PAGE);
+        assertThat(results).containsExactly(PAGE);
         watch();
-        assertThat(second.waiting()).hasSize(1);
+        assertThat(secondRelay.waiting()).hasSize(1);
         now.addAndGet(CoalescedStore.DIRECT_MILLIS);
         list();
-        assertThat(second.waiting()).hasSize(2);
+        assertThat(secondRelay.waiting()).hasSize(2);
     }
 
-    /**
-     * Symptom: keys that were taken away are served 3.1 to 3.5 s later, where 3 s are allowed, by
-     * one VM of 79. Events: the configuration is large, so that the VM that asks for its data
-     * centre gives it to some and tells the others to ask by themselves; they leave that VM, all
-     * their other watches with it, list all kinds anew at the next VM, and so on with each change.
-     *
-     * <p>Cause: "ask by yourself" was taken for the failure of a VM. Evidence: 525 of 1,820
-     * failures of that kind on the day were this answer; between the first and the last VM with a
-     * configuration lay up to 4.4 s.
-     */
+    /** Guards against all VMs switching relays when a configuration is too large to share. */
     @Test
-    void anAnswerTooLargeForAllIsListedAtTheStoreAndTheVmStaysInUse() {
+    void resultTooLargeToShareIsListedAtTheStoreAndTheRelayStaysInUse() {
         final StoreResult<Page<VmEntry>> tooLarge = new StoreResult.TooLarge<>();
         watch();
         watch();
-        first.answer(tooLarge);
-        assertThat(answers).containsExactly(tooLarge);
-        assertThat(first.waiting()).hasSize(1);
+        firstRelay.answer(tooLarge);
+        assertThat(results).containsExactly(tooLarge);
+        assertThat(firstRelay.waiting()).hasSize(1);
         list();
         direct.answer(PAGE);
         watch();
         now.addAndGet(CoalescedStore.DIRECT_MILLIS);
         list();
-        assertThat(first.waiting()).hasSize(3);
-        first.answer(PAGE);
-        first.answer(PAGE);
-        first.answer(tooLarge);
+        assertThat(firstRelay.waiting()).hasSize(3);
+        firstRelay.answer(PAGE);
+        firstRelay.answer(PAGE);
+        firstRelay.answer(tooLarge);
         direct.answer(PAGE);
-        assertThat(answers).containsExactly(tooLarge, PAGE, PAGE, PAGE, PAGE);
-        assertThat(second.waiting()).isEmpty();
+        assertThat(results).containsExactly(tooLarge, PAGE, PAGE, PAGE, PAGE);
+        assertThat(secondRelay.waiting()).isEmpty();
     }
 
     @Test
-    void aListThatFailsAtAVmIsMadeAtTheStoreItself() {
+    void listThatFailsAtARelayIsRepeatedAtTheStore() {
         list();
-        first.answer(AWAY);
-        assertThat(answers).isEmpty();
+        firstRelay.answer(UNAVAILABLE);
+        assertThat(results).isEmpty();
         direct.answer(PAGE);
-        assertThat(answers).containsExactly(PAGE);
+        assertThat(results).containsExactly(PAGE);
     }
 
-    /**
-     * Symptom: a drain is heard of ten seconds late. Events: a watch fails with the VM that made
-     * it, is made again at once, and is deaf to what changed before. Cause: it was not listed anew.
-     */
+    /** Guards against missed changes: after a failed watch the objects have to be listed again. */
     @Test
-    void aWatchThatFailsAtAVmIsNotMadeAgain() {
+    void watchThatFailsAtARelayIsNotRepeated() {
         watch();
-        first.answer(AWAY);
+        firstRelay.answer(UNAVAILABLE);
         assertThat(direct.waiting()).isEmpty();
-        assertThat(second.waiting()).isEmpty();
-        assertThat(answers).containsExactly(AWAY);
+        assertThat(secondRelay.waiting()).isEmpty();
+        assertThat(results).containsExactly(UNAVAILABLE);
     }
 
     @Test
-    void aVmThatFailedIsAskedAgainAfterAPauseThatGrows() {
+    void failedRelayIsCalledAgainAfterAnIncreasingPause() {
         list();
-        first.answer(AWAY);
+        firstRelay.answer(UNAVAILABLE);
         now.addAndGet(CoalescedStore.PAUSE_MILLIS);
         list();
-        first.answer(AWAY);
+        firstRelay.answer(UNAVAILABLE);
         now.addAndGet(CoalescedStore.PAUSE_MILLIS);
         list();
-        assertThat(second.waiting()).hasSize(1);
+        assertThat(secondRelay.waiting()).hasSize(1);
         now.addAndGet(CoalescedStore.PAUSE_MILLIS);
         list();
-        assertThat(first.waiting()).hasSize(1);
+        assertThat(firstRelay.waiting()).hasSize(1);
     }
 
-    /** The rest of the bound is needed to notice the failure and to list anew. */
+    /** The rest of the propagation delay is needed to detect a failed relay and to list again. */
     @Test
-    void theWatchOnTheConfigurationIsShorterThanNewsMayTakeAndOthersAreNot() {
+    void onlyTheWatchOnTheConfigurationIsShorterThanThePropagationDelay() {
         final List<Duration> waits = new ArrayList<>();
         final Store recording =
                 new ManualStore() {
@@ -173,7 +153,7 @@
                             final StoreKind<T> kind,
                             final Position since,
                             final Duration wait,
-                            final Consumer<StoreResult<Page<T>>> answer) {
+                            final Consumer<StoreResult<Page<T>>> callback) {
                         waits.add(wait);
                     }
                 };
@@ -185,8 +165,12 @@
                             () -> Duration.ofSeconds(seconds),
                             now::get);
             bounded.watch(
-                    StoreKind.CONFIGURATION, Position.of(0, 7), Duration.ofSeconds(10), a -> {});
-            bounded.watch(StoreKind.SERVERS, Position.of(0, 7), Duration.ofSeconds(10), a -> {});
+                    StoreKind.CONFIGURATION,
+                    Position.of(0, 7),
+                    Duration.ofSeconds(10),
+                    result -> {});
+            bounded.watch(
+                    StoreKind.SERVERS, Position.of(0, 7), Duration.ofSeconds(10), result -> {});
         }
         assertThat(waits)
                 .containsExactly(
@@ -196,13 +180,13 @@
                         Duration.ofSeconds(10));
     }
 
-    /** A late answer of a watch that was given up brings no second answer. */
+    /** Guards against a second result from the late response to an abandoned watch. */
     @Test
-    void everyWatchGetsOneAnswer() {
+    void everyWatchGetsOneResult() {
         watch();
         watch();
-        first.answer(AWAY);
-        first.answer(PAGE);
-        assertThat(answers).hasSize(2);
+        firstRelay.answer(UNAVAILABLE);
+        firstRelay.answer(PAGE);
+        assertThat(results).hasSize(2);
     }
 }
--- a/fennelstage-gateway/src/test/java/org/fennelstage/store/EraTrackerTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/store/EraTrackerTest.java
@@ -10,26 +10,26 @@
 class EraTrackerTest {
 
     private final EraTracker eras = EraTracker.empty();
-    private final List<Long> heard = new ArrayList<>();
+    private final List<Long> reportedEras = new ArrayList<>();
 
     private boolean offer(final long era, final long revision) {
         return eras.offer(Position.of(era, revision), StoreKind.SERVERS);
     }
 
     @Test
-    void theFirstEraIsNoReturnAndEachLaterOneIsToldOnce() {
-        eras.onNewEra(() -> heard.add(eras.era()));
+    void firstEraIsNotReportedAndEachNewerEraIsReportedOnce() {
+        eras.onNewEra(() -> reportedEras.add(eras.era()));
         offer(3, 10);
         offer(3, 9);
         offer(4, 2);
         offer(4, 3);
         offer(7, 1);
-        assertThat(heard).containsExactly(4L, 7L);
+        assertThat(reportedEras).containsExactly(4L, 7L);
         assertThat(eras.restoreCount()).isEqualTo(2);
     }
 
     @Test
-    void whatAFormerEraSaysIsTurnedDown() {
+    void resultsOfAFormerEraAreDiscarded() {
         assertThat(offer(4, 2)).isTrue();
         assertThat(offer(3, 90)).isFalse();
         assertThat(offer(4, 1)).isTrue();
--- a/fennelstage-gateway/src/test/java/org/fennelstage/store/FallbackStoreTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/store/FallbackStoreTest.java
@@ -13,74 +13,64 @@
 
     private static final StoreResult<Page<VmEntry>> PAGE =
             new StoreResult.Done<>(new Page<>(List.of(), Optional.empty(), Position.of(0, 7)));
-    private static final StoreResult<Page<VmEntry>> AWAY =
+    private static final StoreResult<Page<VmEntry>> UNAVAILABLE =
             new StoreResult.Unavailable<>(false, "503");
 
     private final AtomicLong now = new AtomicLong(1_000_000);
     private final ManualStore store = new ManualStore();
-    private final ManualStore near = new ManualStore();
-    private final ManualStore far = new ManualStore();
-    private final List<StoreResult<Page<VmEntry>>> answers = new ArrayList<>();
+    private final ManualStore firstRelay = new ManualStore();
+    private final ManualStore secondRelay = new ManualStore();
+    private final List<StoreResult<Page<VmEntry>>> results = new ArrayList<>();
     private final FallbackStore fallback =
-            new FallbackStore(store, () -> List.of(near, far), now::get);
+            new FallbackStore(store, () -> List.of(firstRelay, secondRelay), now::get);
 
     private void list() {
-        fallback.list(StoreKind.VMS, Optional.empty(), answers::add);
+        fallback.list(StoreKind.VMS, Optional.empty(), results::add);
     }
 
     @Test
-    void whileTheStoreAnswersNoOtherVmIsAsked() {
+    void noRelayIsCalledWhileTheStoreIsAvailable() {
         list();
         store.answer(PAGE);
-        assertThat(answers).containsExactly(PAGE);
-        assertThat(near.waiting()).isEmpty();
+        assertThat(results).containsExactly(PAGE);
+        assertThat(firstRelay.waiting()).isEmpty();
     }
 
-    /**
-     * Symptom: one VM serves keys that were taken away seconds ago. Events: the store turns this VM
-     * away and serves all others. Cause: only the store itself was asked.
-     */
+    /** Guards against outdated keys on a VM to which alone the store is unavailable. */
     @Test
-    void whenTheStoreTurnsThisVmAwayAnotherVmPassesTheCallOn() {
+    void callsGoThroughRelaysWhenTheStoreIsUnavailableToThisVm() {
         list();
-        store.answer(AWAY);
-        near.answer(AWAY);
-        far.answer(PAGE);
-        assertThat(answers).containsExactly(PAGE);
+        store.answer(UNAVAILABLE);
+        firstRelay.answer(UNAVAILABLE);
+        secondRelay.answer(PAGE);
+        assertThat(results).containsExactly(PAGE);
         list();
         assertThat(store.waiting()).isEmpty();
-        near.answer(PAGE);
-        assertThat(answers).hasSize(2);
+        firstRelay.answer(PAGE);
+        assertThat(results).hasSize(2);
     }
 
-    /**
-     * Symptom: a change of routes is heard ten seconds late. Events: the store keeps silent; one
-     * call times out early, a long watch waits on. Cause: each call found out for itself.
-     */
+    /** Guards against a long watch that waits for its own timeout after another call failed. */
     @Test
-    void allCallsThatWaitForASilentStoreFailWhenOneFailsAndAreThenAskedOfAnotherVm() {
+    void oneFailedCallFailsAllPendingCallsAndLaterCallsGoThroughARelay() {
         list();
         list();
-        store.answer(AWAY);
-        assertThat(answers).hasSize(1);
-        assertThat(answers.get(0)).isInstanceOf(StoreResult.Unavailable.class);
-        near.answer(PAGE);
+        store.answer(UNAVAILABLE);
+        assertThat(results).hasSize(1);
+        assertThat(results.get(0)).isInstanceOf(StoreResult.Unavailable.class);
+        firstRelay.answer(PAGE);
         store.answer(PAGE);
-        assertThat(answers).hasSize(2);
+        assertThat(results).hasSize(2);
         list();
-        assertThat(near.waiting()).hasSize(1);
+        assertThat(firstRelay.waiting()).hasSize(1);
         assertThat(fallback.mayRelay()).isFalse();
     }
 
-    /**
-     * Symptom: a VM passes no calls on although the store serves it again. Events: the store turned
-     * it away for a moment; since then it asks through another VM. Cause: only its own calls could
-     * tell that the store is back.
-     */
+    /** Guards against a VM that relays no calls although the store is available to it again. */
     @Test
-    void aVmThatWasTurnedAwayPassesOneCallOnAfterAPauseAndAllOnceThatWasAnswered() {
+    void relaysOneProbeCallAfterAPauseAndAllCallsAfterAResponse() {
         list();
-        store.answer(AWAY);
+        store.answer(UNAVAILABLE);
         assertThat(fallback.mayRelay()).isFalse();
         now.addAndGet(1_500);
         assertThat(fallback.mayRelay()).isTrue();
@@ -90,10 +80,10 @@
     }
 
     @Test
-    void theStoreIsAskedAgainAfterAPause() {
+    void storeIsCalledAgainAfterAPause() {
         list();
-        store.answer(AWAY);
-        near.answer(PAGE);
+        store.answer(UNAVAILABLE);
+        firstRelay.answer(PAGE);
         now.addAndGet(1_500);
         list();
         store.answer(PAGE);
@@ -102,21 +92,21 @@
     }
 
     @Test
-    void whenNobodyReachesTheStoreTheCallFails() {
+    void callFailsWhenTheStoreAndAllRelaysFail() {
         list();
-        store.answer(AWAY);
-        near.answer(AWAY);
-        far.answer(AWAY);
-        assertThat(answers).containsExactly(AWAY);
+        store.answer(UNAVAILABLE);
+        firstRelay.answer(UNAVAILABLE);
+        secondRelay.answer(UNAVAILABLE);
+        assertThat(results).containsExactly(UNAVAILABLE);
     }
 
-    /** A VM that cannot reach the store has to get the answer from some other VM. */
+    /** Without direct access to the store, the result has to come from some relay. */
     @Test
-    void anAnswerThatOneVmCannotCarryIsAskedOfTheNext() {
+    void nextRelayIsCalledWhenAResultIsTooLargeForOne() {
         list();
-        store.answer(AWAY);
-        near.answer(new StoreResult.TooLarge<Page<VmEntry>>());
-        far.answer(PAGE);
-        assertThat(answers).containsExactly(PAGE);
+        store.answer(UNAVAILABLE);
+        firstRelay.answer(new StoreResult.TooLarge<Page<VmEntry>>());
+        secondRelay.answer(PAGE);
+        assertThat(results).containsExactly(PAGE);
     }
 }
--- a/fennelstage-gateway/src/test/java/org/fennelstage/store/FollowerTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/store/FollowerTest.java
@@ -22,10 +22,10 @@
 
 class FollowerTest implements Follower.Listener<VmEntry> {
 
-    /** A call to the store, waiting for the test's answer. */
-    private record Waiting(String call, Consumer<StoreResult<Page<VmEntry>>> answer) {}
+    /** A pending call, to be completed by the test. */
+    private record Pending(String call, Consumer<StoreResult<Page<VmEntry>>> callback) {}
 
-    /** Keeps the calls in words. */
+    /** Records each call as text. */
     private final class RecordingStore extends ManualStore {
 
         @Override
@@ -33,8 +33,8 @@
         public <T> void list(
                 final StoreKind<T> kind,
                 final Optional<String> after,
-                final Consumer<StoreResult<Page<T>>> answer) {
-            calls.add(new Waiting("list " + after.orElse("-"), (Consumer) answer));
+                final Consumer<StoreResult<Page<T>>> callback) {
+            calls.add(new Pending("list " + after.orElse("-"), (Consumer) callback));
         }
 
         @Override
@@ -43,13 +43,13 @@
                 final StoreKind<T> kind,
                 final Position since,
                 final Duration wait,
-                final Consumer<StoreResult<Page<T>>> answer) {
-            calls.add(new Waiting("watch " + since.revision(), (Consumer) answer));
+                final Consumer<StoreResult<Page<T>>> callback) {
+            calls.add(new Pending("watch " + since.revision(), (Consumer) callback));
         }
     }
 
-    private final BlockingQueue<Waiting> calls = new LinkedBlockingQueue<>();
-    private final List<String> heard = new CopyOnWriteArrayList<>();
+    private final BlockingQueue<Pending> calls = new LinkedBlockingQueue<>();
+    private final List<String> received = new CopyOnWriteArrayList<>();
     private final EventLoop loop = new DefaultEventLoop();
     private final EraTracker eras = EraTracker.empty();
     private final Follower<VmEntry> follower =
@@ -69,133 +69,129 @@
 
     @Override
     public void onAll(final List<StoredValue<VmEntry>> values) {
-        heard.add("all " + values.stream().map(StoredValue::name).toList());
+        received.add("all " + values.stream().map(StoredValue::name).toList());
     }
 
     @Override
     public void onChange(final StoredValue<VmEntry> value) {
-        heard.add((value.value().isPresent() ? "put " : "gone ") + value.name());
+        received.add((value.value().isPresent() ? "put " : "deleted ") + value.name());
     }
 
     @Override
     public void onStoreCallFailed() {
-        heard.add("lost");
+        received.add("call failed");
     }
 
     @Override
     public void onStoreUnavailable() {
-        heard.add("away");
+        received.add("unavailable");
     }
 
     @Override
     public void onStoreAvailable() {
-        heard.add("back");
+        received.add("available");
     }
 
     @Override
     public void onStoreRestored() {
-        heard.add("replaced");
+        received.add("restored");
     }
 
     @Test
-    void aListInPartsIsHeardAsOneAndThenWatchedFromItsRevision() throws InterruptedException {
+    void listOfSeveralPagesIsDeliveredOnceAndWatchedFromItsRevision() throws InterruptedException {
         follower.start();
         answer("list -", page(Optional.of("b"), 5, entry("a", 1), entry("b", 2)));
         answer("list b", page(Optional.empty(), 6, entry("c", 3)));
-        answer("watch 6", page(Optional.empty(), 9, gone("a", 8)));
+        answer("watch 6", page(Optional.empty(), 9, deleted("a", 8)));
         expect("watch 9");
-        assertThat(heard).containsExactly("all [a, b, c]", "gone a");
+        assertThat(received).containsExactly("all [a, b, c]", "deleted a");
     }
 
-    /**
-     * Symptom: a change is not in force ten seconds later. Events: the store cuts its watches and
-     * drops its history; the watch that follows at once waits for changes after it. Cause: the
-     * watch went on from the old revision after a failure.
-     */
+    /** Guards against missed changes when the store drops its history together with its watches. */
     @Test
-    void afterAFailureTheObjectsAreListedAnew() throws InterruptedException {
+    void objectsAreListedAgainAfterAFailure() throws InterruptedException {
         follower.start();
         answer("list -", page(Optional.empty(), 5));
         answer("watch 5", new StoreResult.Unavailable<>(false, "reset"));
         answer("list -", page(Optional.empty(), 7, entry("a", 7)));
         expect("watch 7");
-        assertThat(heard).containsExactly("all []", "lost", "back", "all [a]");
+        assertThat(received).containsExactly("all []", "call failed", "available", "all [a]");
     }
 
     @Test
-    void onlyAListThatFailsTellsThatTheStoreIsAwayAndItIsToldOnce() throws InterruptedException {
+    void onlyAFailedListReportsTheStoreUnavailableAndOnlyOnce() throws InterruptedException {
         follower.start();
         answer("list -", page(Optional.empty(), 5));
-        answer("watch 5", new StoreResult.Unavailable<>(false, "the VM that was asked failed"));
+        answer("watch 5", new StoreResult.Unavailable<>(false, "relay failed"));
         answer("list -", new StoreResult.Unavailable<>(false, "503"));
         answer("list -", new StoreResult.Unavailable<>(false, "503"));
         answer("list -", page(Optional.empty(), 7, entry("a", 7)));
         answer("watch 7", new StoreResult.Unavailable<>(false, "503"));
         answer("list -", new StoreResult.Unavailable<>(false, "503"));
         expect("list -");
-        assertThat(heard)
-                .containsExactly("all []", "lost", "away", "back", "all [a]", "lost", "away");
+        assertThat(received)
+                .containsExactly(
+                        "all []",
+                        "call failed",
+                        "unavailable",
+                        "available",
+                        "all [a]",
+                        "call failed",
+                        "unavailable");
     }
 
-    /**
-     * Symptom: a VM with a slow link has a configuration 4 s after the others. Events: a large one
-     * changes several times a second; each watch brings all versions since the last, and takes so
-     * long that the next has more to bring. Cause: what was too large to share was watched on.
-     */
+    /** Guards against a VM with a slow link that falls behind by watching every version. */
     @Test
-    void whatIsTooLargeForAWatchIsListedAtOnceAndTheStoreIsNotLost() throws InterruptedException {
+    void watchResultThatIsTooLargeIsListedAtOnceAndIsNoFailure() throws InterruptedException {
         follower.start();
         answer("list -", page(Optional.empty(), 5));
         answer("watch 5", new StoreResult.TooLarge<>());
         answer("list -", page(Optional.empty(), 9, entry("a", 9)));
         expect("watch 9");
-        assertThat(heard).containsExactly("all []", "all [a]");
+        assertThat(received).containsExactly("all []", "all [a]");
     }
 
     @Test
-    void whenTheHistoryIsGoneTheObjectsAreListedAnewAtOnce() throws InterruptedException {
+    void objectsAreListedAtOnceWhenTheHistoryIsGone() throws InterruptedException {
         follower.start();
         answer("list -", page(Optional.empty(), 5));
         answer("watch 5", new StoreResult.HistoryGone<>());
         expect("list -");
-        assertThat(heard).containsExactly("all []");
+        assertThat(received).containsExactly("all []");
     }
 
-    /**
-     * Symptom: configuration goes back. Events: an answer comes that is older than what is known.
-     * Cause: the answer's revision was not compared.
-     */
+    /** Guards against an older state replacing a newer one. */
     @Test
-    void anAnswerOlderThanWhatIsKnownIsNotHeard() throws InterruptedException {
+    void resultOlderThanTheKnownPositionIsNotDelivered() throws InterruptedException {
         follower.start();
         answer("list -", page(Optional.empty(), 5));
         answer("watch 5", page(Optional.empty(), 4, entry("a", 3)));
         expect("list -");
-        assertThat(heard).containsExactly("all []");
+        assertThat(received).containsExactly("all []");
     }
 
     @Test
-    void anObjectThatCannotBeUnderstoodHidesNoOther() throws InterruptedException {
+    void malformedObjectDoesNotHideOthers() throws InterruptedException {
         follower.start();
-        final StoredValue<VmEntry> broken =
+        final StoredValue<VmEntry> malformed =
                 new StoredValue<>(
                         "x", Position.of(0, 4), Optional.empty(), Optional.of("no address"));
-        answer("list -", page(Optional.empty(), 5, broken, entry("a", 3)));
+        answer("list -", page(Optional.empty(), 5, malformed, entry("a", 3)));
         expect("watch 5");
-        assertThat(heard).containsExactly("all [a]");
+        assertThat(received).containsExactly("all [a]");
     }
 
-    private void answer(final String call, final StoreResult<Page<VmEntry>> answer)
+    private void answer(final String call, final StoreResult<Page<VmEntry>> result)
             throws InterruptedException {
-        final Waiting waiting = expect(call);
-        loop.submit(() -> waiting.answer().accept(answer)).sync();
+        final Pending pending = expect(call);
+        loop.submit(() -> pending.callback().accept(result)).sync();
     }
 
-    private Waiting expect(final String call) throws InterruptedException {
-        final Waiting waiting = calls.poll(10, TimeUnit.SECONDS);
-        assertThat(waiting).isNotNull();
-        assertThat(waiting.call()).isEqualTo(call);
-        return waiting;
+    private Pending expect(final String call) throws InterruptedException {
+        final Pending pending = calls.poll(10, TimeUnit.SECONDS);
+        assertThat(pending).isNotNull();
+        assertThat(pending.call()).isEqualTo(call);
+        return pending;
     }
 
     @SafeVarargs
@@ -212,62 +208,58 @@
         return new StoredValue<>(name, Position.of(0, revision), Optional.of(vm), Optional.empty());
     }
 
-    private static StoredValue<VmEntry> gone(final String name, final long revision) {
+    private static StoredValue<VmEntry> deleted(final String name, final long revision) {
         return new StoredValue<>(
                 name, Position.of(0, revision), Optional.empty(), Optional.empty());
     }
 
     /**
-     * Symptom: a worker that left gets requests, a key that was taken away is served. Events: the
-     * store comes back from a copy and gives the watched revision out again before the next watch.
-     * Cause: the watch's answer looked like any other, and what changed before it was missed.
+     * Guards against missed changes when a store that was restored from an older copy assigns the
+     * watched revision again.
      */
     @Test
-    void aWatchThatIsAnsweredInALaterEraIsNotHeardAndAllIsListedAnew() throws InterruptedException {
+    void watchResultOfANewerEraIsDiscardedAndObjectsAreListedAgain() throws InterruptedException {
         follower.start();
         answer("list -", page(Optional.empty(), 5));
         answer("watch 5", laterPage(7, entry("a", 7)));
         answer("list -", laterPage(7, entry("a", 7), entry("b", 4)));
         expect("watch 7");
-        assertThat(heard).containsExactly("all []", "replaced", "all [a, b]");
+        assertThat(received).containsExactly("all []", "restored", "all [a, b]");
     }
 
-    /** The first answer of a new era, whoever asked, makes every follower list anew at once. */
+    /** The first result of a new era from any call makes every follower list again at once. */
     @Test
-    void aRiseOfTheEraSeenElsewhereEndsTheWatchThatWaits() throws InterruptedException {
+    void newEraFromAnotherCallEndsThePendingWatch() throws InterruptedException {
         follower.start();
         answer("list -", page(Optional.empty(), 5));
-        final Waiting watch = expect("watch 5");
+        final Pending watch = expect("watch 5");
         loop.submit(() -> eras.offer(Position.of(1, 3), StoreKind.SERVERS)).sync();
         answer("list -", laterPage(4));
-        loop.submit(() -> watch.answer().accept(page(Optional.empty(), 9, entry("x", 9)))).sync();
+        loop.submit(() -> watch.callback().accept(page(Optional.empty(), 9, entry("x", 9)))).sync();
         expect("watch 4");
-        assertThat(heard).containsExactly("all []", "replaced", "all []");
+        assertThat(received).containsExactly("all []", "restored", "all []");
     }
 
-    /**
-     * Symptom: a VM goes back to the state before the return. Events: it asks through a VM that
-     * hands out an answer from before. Cause: the answer's era was not looked at.
-     */
+    /** Guards against a relay that returns a result from before the store was restored. */
     @Test
-    void anAnswerOfAnEraThatHasEndedIsAskedForAgain() throws InterruptedException {
+    void listIsRepeatedAfterAResultOfAFormerEra() throws InterruptedException {
         follower.start();
         answer("list -", laterPage(5));
         answer("watch 5", page(Optional.empty(), 9, entry("a", 9)));
         answer("list -", page(Optional.empty(), 9, entry("a", 9)));
         answer("list -", laterPage(6, entry("b", 6)));
         expect("watch 6");
-        assertThat(heard).containsExactly("all []", "lost", "back", "all [b]");
+        assertThat(received).containsExactly("all []", "call failed", "available", "all [b]");
     }
 
     @Test
-    void aListInPartsThatTheReturnDividesIsBegunAnew() throws InterruptedException {
+    void listOfSeveralPagesIsRestartedWhenTheEraChangesBetweenPages() throws InterruptedException {
         follower.start();
         answer("list -", page(Optional.of("b"), 5, entry("a", 1), entry("b", 2)));
         answer("list b", laterPage(4, entry("c", 3)));
         answer("list -", laterPage(4, entry("c", 3)));
         expect("watch 4");
-        assertThat(heard).containsExactly("replaced", "all [c]");
+        assertThat(received).containsExactly("restored", "all [c]");
     }
 
     @SafeVarargs
--- a/fennelstage-gateway/src/test/java/org/fennelstage/store/ManualStore.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/store/ManualStore.java
@@ -11,7 +11,7 @@
 import org.fennelstage.crash.Fingerprint;
 import org.fennelstage.history.Position;
 
-/** A store whose answers a test gives. Confined to the thread of its test. */
+/** A store whose pending calls a test completes. Not thread-safe; confined to the test's thread. */
 public class ManualStore implements Store {
     private final List<Consumer<StoreResult<?>>> waiting = new ArrayList<>();
 
@@ -19,14 +19,14 @@
     public <T> void list(
             final StoreKind<T> kind,
             final Optional<String> after,
-            final Consumer<StoreResult<Page<T>>> answer) {
-        keep(answer);
+            final Consumer<StoreResult<Page<T>>> callback) {
+        addPending(callback);
     }
 
     @Override
     public <T> void listStale(
-            final StoreKind<T> kind, final Consumer<StoreResult<Page<T>>> answer) {
-        keep(answer);
+            final StoreKind<T> kind, final Consumer<StoreResult<Page<T>>> callback) {
+        addPending(callback);
     }
 
     @Override
@@ -34,8 +34,8 @@
             final StoreKind<T> kind,
             final Position since,
             final Duration wait,
-            final Consumer<StoreResult<Page<T>>> answer) {
-        keep(answer);
+            final Consumer<StoreResult<Page<T>>> callback) {
+        addPending(callback);
     }
 
     @Override
@@ -43,39 +43,39 @@
             final RolloutOrder order,
             final RolloutPhase phase,
             final Instant begunAt,
-            final Consumer<StoreResult<Void>> answer) {
-        keep(answer);
+            final Consumer<StoreResult<Void>> callback) {
+        addPending(callback);
     }
 
     @Override
-    public void writeVm(final VmEntry entry, final Consumer<StoreResult<Void>> answer) {
-        keep(answer);
+    public void writeVm(final VmEntry entry, final Consumer<StoreResult<Void>> callback) {
+        addPending(callback);
     }
 
     @Override
     public void writeQuarantine(
-            final Fingerprint content, final Consumer<StoreResult<Void>> answer) {
-        keep(answer);
+            final Fingerprint content, final Consumer<StoreResult<Void>> callback) {
+        addPending(callback);
     }
 
     @Override
     public void deleteQuarantine(
-            final Fingerprint content, final Consumer<StoreResult<Void>> answer) {
-        keep(answer);
+            final Fingerprint content, final Consumer<StoreResult<Void>> callback) {
+        addPending(callback);
     }
 
     @SuppressWarnings({"unchecked", "rawtypes"})
-    private void keep(final Consumer answer) {
-        waiting.add((Consumer<StoreResult<?>>) answer);
+    private void addPending(final Consumer callback) {
+        waiting.add((Consumer<StoreResult<?>>) callback);
     }
 
-    /** Returns who waits for an answer, the oldest first. */
+    /** Returns the callbacks of pending calls, the oldest first. */
     public List<Consumer<StoreResult<?>>> waiting() {
         return waiting;
     }
 
-    /** Answers the oldest call that waits. */
-    public void answer(final StoreResult<?> answer) {
-        waiting.remove(0).accept(answer);
+    /** Completes the oldest pending call. */
+    public void answer(final StoreResult<?> result) {
+        waiting.remove(0).accept(result);
     }
 }
