--- a/fennelstage-bench/src/main/java/org/fennelstage/bench/engine/PlayedRequest.java
+++ b/fennelstage-bench/src/main/java/org/fennelstage/bench/engine/PlayedRequest.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import java.util.OptionalInt;
 import java.util.SplittableRandom;
-import org.fennelstage.attempt.Pace;
+import org.fennelstage.attempt.LatencyEstimator;
 import org.fennelstage.fleet.TrackedServer;
 import org.fennelstage.id.ModelId;
 import org.fennelstage.placement.Job;
@@ -93,7 +93,7 @@
     }
 
     private Job job(final ModelId model) {
-        final Pace pace = vm.pace(model);
+        final LatencyEstimator pace = vm.pace(model);
         final Prompt prompt =
                 new Prompt(
                         List.of(
@@ -105,8 +105,8 @@
                 Optional.of(prompt),
                 Optional.of(model),
                 play.setup().policy().uses(Mechanism.MEMORY_AFFINITY),
-                pace.readMillisPerToken(),
-                pace.answerMillis());
+                pace.prefillMillisPerToken(),
+                pace.responseMillis());
     }
 
     private void onFirst(final double sent) {
@@ -115,7 +115,7 @@
         vm.pace(model).onFirstByte((long) (play.clockwork().now() - sent), promptTokens);
         final int opinion = opinion(spec(model));
         noteOpinion(model, opinion);
-        final Optional<ModelId> better = plan.better(OptionalInt.of(opinion), m -> true);
+        final Optional<ModelId> better = plan.nextModel(OptionalInt.of(opinion), m -> true);
         if (better.isPresent()) {
             release();
             plan.escalate(better.get());
@@ -130,7 +130,7 @@
             firstOpinion = Optional.of(opinion);
             firstModel = Optional.of(model);
         } else {
-            vm.opinions(kind).onBoth(firstModel.orElseThrow(), firstOpinion.get(), model, opinion);
+            vm.opinions(kind).observe(firstModel.orElseThrow(), firstOpinion.get(), model, opinion);
         }
     }
 
@@ -167,7 +167,7 @@
     private void noteRead() {
         if (!read) {
             read = true;
-            server.onRead(readMillis);
+            server.onPromptRead(readMillis);
         }
     }
 
--- a/fennelstage-bench/src/main/java/org/fennelstage/bench/engine/PlayedVm.java
+++ b/fennelstage-bench/src/main/java/org/fennelstage/bench/engine/PlayedVm.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import org.fennelstage.attempt.Pace;
+import org.fennelstage.attempt.LatencyEstimator;
 import org.fennelstage.fleet.Load;
 import org.fennelstage.fleet.LoadBoard;
 import org.fennelstage.fleet.Reachability;
@@ -15,7 +15,7 @@
 import org.fennelstage.id.VmId;
 import org.fennelstage.placement.Placement;
 import org.fennelstage.policy.Mechanism;
-import org.fennelstage.sizing.Opinions;
+import org.fennelstage.sizing.ConfidenceGains;
 import org.fennelstage.time.MonotonicClock;
 
 /** One VM's beliefs and decisions in a play. Confined to it. */
@@ -33,8 +33,8 @@
     private final LoadBoard board;
     private final Placement placement;
     private final List<TrackedServer> servers;
-    private final Map<ModelId, Pace> paces = new HashMap<>();
-    private final Map<Kind, Opinions> opinions = new HashMap<>();
+    private final Map<ModelId, LatencyEstimator> paces = new HashMap<>();
+    private final Map<Kind, ConfidenceGains> opinions = new HashMap<>();
 
     PlayedVm(final Play play, final VmId id, final DataCentreId dataCentre, final long seed) {
         this.play = play;
@@ -68,12 +68,12 @@
         return servers;
     }
 
-    Pace pace(final ModelId model) {
-        return paces.computeIfAbsent(model, m -> new Pace());
+    LatencyEstimator pace(final ModelId model) {
+        return paces.computeIfAbsent(model, m -> new LatencyEstimator());
     }
 
-    Opinions opinions(final Kind kind) {
-        return opinions.computeIfAbsent(kind, k -> Opinions.empty());
+    ConfidenceGains opinions(final Kind kind) {
+        return opinions.computeIfAbsent(kind, k -> ConfidenceGains.empty());
     }
 
     Map<BackendServerId, Load> loads() {
--- a/fennelstage-core/src/test/java/org/fennelstage/sizing/SizePlanTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/sizing/SizePlanTest.java
@@ -19,13 +19,13 @@
     private static final ModelId MIDDLE = ModelId.of("middle");
     private static final ModelId LARGE = ModelId.of("large");
 
-    private static Route route(final boolean resumable, final List<ModelId> sizes) {
+    private static Route route(final boolean retryable, final List<ModelId> sizes) {
         return new Route(
                 "digest",
                 "a.example",
                 "/",
                 RouteKind.STREAM,
-                resumable,
+                retryable,
                 false,
                 List.of(new WeightedService(ServiceName.of("models"), 1)),
                 3,
@@ -38,89 +38,77 @@
 
     private static SizePlan plan() {
         return SizePlan.of(
-                route(true, List.of(SMALL, MIDDLE, LARGE)), Opinions.empty(), Policy.all());
+                route(true, List.of(SMALL, MIDDLE, LARGE)), ConfidenceGains.empty(), Policy.all());
     }
 
     @Test
-    void theSmallestModelIsAskedFirstAndItsAnswerTakenIfItBelievesInIt() {
+    void smallestModelIsFirstAndItsAnswerAcceptedAtHighConfidence() {
         final SizePlan plan = plan();
         assertThat(plan.model()).contains(SMALL);
-        assertThat(plan.better(OptionalInt.of(80), m -> true)).isEmpty();
+        assertThat(plan.nextModel(OptionalInt.of(80), m -> true)).isEmpty();
     }
 
     @Test
-    void anAnswerThatTheSmallestModelDoubtsIsAskedOfTheLargest() {
+    void lowConfidenceEscalatesToTheLargestModel() {
         final SizePlan plan = plan();
-        assertThat(plan.better(OptionalInt.of(20), m -> true)).contains(LARGE);
+        assertThat(plan.nextModel(OptionalInt.of(20), m -> true)).contains(LARGE);
         plan.escalate(LARGE);
         assertThat(plan.model()).contains(LARGE);
-        assertThat(plan.better(OptionalInt.of(20), m -> true)).isEmpty();
+        assertThat(plan.nextModel(OptionalInt.of(20), m -> true)).isEmpty();
     }
 
     @Test
-    void anAnswerThatTheSmallestModelNearlyBelievesInIsAskedOfTheMiddleOne() {
+    void mediumConfidenceEscalatesToTheMiddleModel() {
         final SizePlan plan = plan();
-        assertThat(plan.better(OptionalInt.of(45), m -> true)).contains(MIDDLE);
+        assertThat(plan.nextModel(OptionalInt.of(45), m -> true)).contains(MIDDLE);
         plan.escalate(MIDDLE);
-        assertThat(plan.better(OptionalInt.of(60), m -> true)).isEmpty();
-        assertThat(plan.better(OptionalInt.of(40), m -> true)).contains(LARGE);
+        assertThat(plan.nextModel(OptionalInt.of(60), m -> true)).isEmpty();
+        assertThat(plan.nextModel(OptionalInt.of(40), m -> true)).contains(LARGE);
     }
 
-    /**
-     * Symptom: nearly a third of the answers with an opinion of 50 to 60 are not good enough.
-     * Cause: an opinion is wrong by some ten points, and the largest model was the only other
-     * choice, which costs too much for a half chance.
-     */
+    /** Guards against accepting uncertain answers that a middle model could improve at low cost. */
     @Test
-    void aMiddlingOpinionIsNotTakenWhereAMiddleModelWillDo() {
-        assertThat(plan().better(OptionalInt.of(55), m -> true)).contains(MIDDLE);
+    void confidenceAboveEvenStillEscalatesToALikelyMiddleModel() {
+        assertThat(plan().nextModel(OptionalInt.of(55), m -> true)).contains(MIDDLE);
         final Route withoutMiddle = route(true, List.of(SMALL, LARGE));
         assertThat(
-                        SizePlan.of(withoutMiddle, Opinions.empty(), Policy.all())
-                                .better(OptionalInt.of(55), m -> true))
+                        SizePlan.of(withoutMiddle, ConfidenceGains.empty(), Policy.all())
+                                .nextModel(OptionalInt.of(55), m -> true))
                 .isEmpty();
     }
 
-    /**
-     * Symptom: a request ends at its deadline though a model had answered it. Events: the small
-     * model doubts its answer, the large one is asked and has a long queue. Cause: the answer was
-     * dropped without a look at the time left.
-     */
+    /** Guards against dropping an answer when the larger model would miss the deadline. */
     @Test
-    void anAnswerIsTakenIfNoLargerModelCanBeInTime() {
-        assertThat(plan().better(OptionalInt.of(20), m -> !m.equals(LARGE))).isEmpty();
+    void answerIsAcceptedIfTheLargerModelWouldBeTooLate() {
+        assertThat(plan().nextModel(OptionalInt.of(20), m -> !m.equals(LARGE))).isEmpty();
     }
 
-    /**
-     * Symptom: middle models are asked in vain all day. Events: on this deployment the middle model
-     * is hardly better than the smallest. Cause: its gain was assumed and not learnt.
-     */
+    /** Guards against requests to a middle model that is hardly better than the smallest. */
     @Test
-    void aMiddleModelThatGainsNothingIsSoonLeftOut() {
-        final Opinions opinions = Opinions.empty();
+    void middleModelWithoutGainIsSkipped() {
+        final ConfidenceGains gains = ConfidenceGains.empty();
         for (int i = 0; i < 60; i++) {
-            opinions.onBoth(SMALL, 40, MIDDLE, 41);
+            gains.observe(SMALL, 40, MIDDLE, 41);
         }
         final SizePlan plan =
-                SizePlan.of(route(true, List.of(SMALL, MIDDLE, LARGE)), opinions, Policy.all());
-        assertThat(plan.better(OptionalInt.of(40), m -> true)).contains(LARGE);
+                SizePlan.of(route(true, List.of(SMALL, MIDDLE, LARGE)), gains, Policy.all());
+        assertThat(plan.nextModel(OptionalInt.of(40), m -> true)).contains(LARGE);
     }
 
-    /**
-     * Symptom: a request runs twice that must not. Cause: a small model's answer dropped on a route
-     * whose requests may run once.
-     */
+    /** Guards against running a request twice on a route whose requests must not be retried. */
     @Test
-    void aRequestThatMustNotBeRepeatedAsksOneModelOnly() {
+    void requestThatMustNotBeRetriedUsesOnlyTheLargestModel() {
         final SizePlan plan =
-                SizePlan.of(route(false, List.of(SMALL, LARGE)), Opinions.empty(), Policy.all());
+                SizePlan.of(
+                        route(false, List.of(SMALL, LARGE)), ConfidenceGains.empty(), Policy.all());
         assertThat(plan.model()).contains(LARGE);
     }
 
     @Test
-    void withoutSizesTheCallersModelStays() {
-        final SizePlan plan = SizePlan.of(route(true, List.of()), Opinions.empty(), Policy.all());
+    void withoutSizesTheCallersModelIsUsed() {
+        final SizePlan plan =
+                SizePlan.of(route(true, List.of()), ConfidenceGains.empty(), Policy.all());
         assertThat(plan.model()).isEmpty();
-        assertThat(plan.better(OptionalInt.empty(), m -> true)).isEmpty();
+        assertThat(plan.nextModel(OptionalInt.empty(), m -> true)).isEmpty();
     }
 }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Beliefs.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Beliefs.java
@@ -10,9 +10,9 @@
 import java.util.Objects;
 import java.util.Optional;
 import java.util.Set;
-import org.fennelstage.attempt.Pace;
-import org.fennelstage.attempt.RepeatBudget;
-import org.fennelstage.attempt.UsualFailures;
+import org.fennelstage.attempt.BaselineFailureRate;
+import org.fennelstage.attempt.LatencyEstimator;
+import org.fennelstage.attempt.WindowedRetryBudget;
 import org.fennelstage.canary.Canary;
 import org.fennelstage.fleet.ConnectionShare;
 import org.fennelstage.fleet.Eligibility;
@@ -29,7 +29,7 @@
 import org.fennelstage.serving.Service;
 import org.fennelstage.serving.ServingConfiguration;
 import org.fennelstage.serving.WarmUp;
-import org.fennelstage.sizing.Opinions;
+import org.fennelstage.sizing.ConfidenceGains;
 import org.fennelstage.time.MonotonicClock;
 
 /**
@@ -60,10 +60,10 @@
     private final WarmUpShares warmUpShares = WarmUpShares.empty();
     private final Eligibility eligibility;
     private final Map<ServiceName, Canary> canaries = new HashMap<>();
-    private final Map<ServiceName, RepeatBudget> budgets = new HashMap<>();
-    private final Map<String, UsualFailures> usualFailures = new HashMap<>();
-    private final Map<String, Pace> paces = new HashMap<>();
-    private final Map<String, Opinions> opinions = new HashMap<>();
+    private final Map<ServiceName, WindowedRetryBudget> budgets = new HashMap<>();
+    private final Map<String, BaselineFailureRate> usualFailures = new HashMap<>();
+    private final Map<String, LatencyEstimator> paces = new HashMap<>();
+    private final Map<String, ConfidenceGains> opinions = new HashMap<>();
     private Optional<ServingConfiguration> configuration = Optional.empty();
     private int vmCount;
     private Position ordersKnownTo = Position.NONE;
@@ -83,7 +83,8 @@
         this.servers = ServerTable.of(clock);
         this.evacuations = Evacuations.empty(clock);
         this.eligibility =
-                new Eligibility(evacuations, warmUpShares, this::warmUp, this.servers::isStoreAway);
+                new Eligibility(
+                        evacuations, warmUpShares, this::warmUp, this.servers::isStoreUnavailable);
     }
 
     public MonotonicClock clock() {
@@ -149,14 +150,14 @@
     }
 
     /** Returns the pace of a service's workers with one model. */
-    Pace pace(final ServiceName service, final Optional<ModelId> model) {
+    LatencyEstimator pace(final ServiceName service, final Optional<ModelId> model) {
         final String key = service + "/" + model.map(ModelId::value).orElse("");
-        return paces.computeIfAbsent(key, k -> new Pace());
+        return paces.computeIfAbsent(key, k -> new LatencyEstimator());
     }
 
     /** Returns what models' opinions tell on a route; requests of a kind are alike. */
-    Opinions opinions(final String route) {
-        return opinions.computeIfAbsent(route, r -> Opinions.empty());
+    ConfidenceGains opinions(final String route) {
+        return opinions.computeIfAbsent(route, r -> ConfidenceGains.empty());
     }
 
     private double ownSlack() {
@@ -204,19 +205,19 @@
     public void onTakenBack(final DataCentreId dataCentre) {
         servers.all().stream()
                 .filter(server -> server.entry().dataCentre().equals(dataCentre))
-                .forEach(eligibility::onTakenBack);
+                .forEach(eligibility::onEvacuationEnded);
     }
 
     /** Returns the share of a route's requests that fail wherever they run. */
-    UsualFailures usualFailures(final String route) {
-        return usualFailures.computeIfAbsent(route, r -> new UsualFailures());
+    BaselineFailureRate usualFailures(final String route) {
+        return usualFailures.computeIfAbsent(route, r -> new BaselineFailureRate());
     }
 
-    RepeatBudget budget(final ServiceName service) {
+    WindowedRetryBudget budget(final ServiceName service) {
         return budgets.computeIfAbsent(
                 service,
                 s ->
-                        RepeatBudget.of(
+                        WindowedRetryBudget.of(
                                 clock,
                                 settings.repeatWindow(),
                                 settings.repeatRatio(),
@@ -252,8 +253,8 @@
 
     /** Notes that the store has come back from an older copy. */
     public void onStoreReplaced() {
-        servers.onStoreReplaced();
-        canaries.values().forEach(Canary::onStoreReplaced);
+        servers.onStoreRestored();
+        canaries.values().forEach(Canary::onStoreRestored);
         settling = true;
         settledAtMillis = clock.millis() + REWRITE_MILLIS;
     }
@@ -318,7 +319,7 @@
         }
         final Canary canary = canary(entry.service());
         if (!settling || !canary.hasVersionInUse()) {
-            canary.onUnordered(entry.version());
+            canary.onVersionWithoutOrder(entry.version());
         }
     }
 
@@ -339,7 +340,7 @@
         for (final TrackedServer server : usable) {
             if (canary.admits(server.entry().version(), toNew)) {
                 anyAdmitted = true;
-                if (eligibility.mayGet(server)) {
+                if (eligibility.isEligible(server)) {
                     eligible.add(server);
                 }
             }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/store/FallbackStore.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/store/FallbackStore.java
@@ -224,7 +224,8 @@
             return;
         }
         failed = true;
-        EventLog.write(Event.STORE_REFUSES, "detail", detail, "relays", relays.get().size());
+        EventLog.write(
+                Event.DIRECT_STORE_ACCESS_LOST, "detail", detail, "relays", relays.get().size());
         final List<Pending<?>> waiting = new ArrayList<>(pending);
         pending.clear();
         waiting.forEach(Pending::fail);
@@ -233,7 +234,7 @@
     private void onStoreResponded() {
         if (failed) {
             failed = false;
-            EventLog.write(Event.STORE_SERVES, "relays", relays.get().size());
+            EventLog.write(Event.DIRECT_STORE_ACCESS_RESTORED, "relays", relays.get().size());
         }
     }
 }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/PeerInbox.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/PeerInbox.java
@@ -53,8 +53,8 @@
     }
 
     private void onSaidToLeave(final Incarnation server) {
-        if (beliefs.servers().onLeaving(server)) {
-            EventLog.write(Event.SERVER_LEAVES, "server", server, "source", "another VM");
+        if (beliefs.servers().onDraining(server)) {
+            EventLog.write(Event.SERVER_DRAINING, "server", server, "source", "another VM");
         }
     }
 
@@ -65,8 +65,8 @@
                         .find(about.server())
                         .filter(s -> s.entry().incarnation().equals(about));
         if (server.isPresent()) {
-            final boolean believed = server.get().health().onHearsay(draw);
-            EventLog.write(Event.SERVER_REPORTED, "server", about, "believed", believed);
+            final boolean believed = server.get().health().onPeerReport(draw);
+            EventLog.write(Event.SERVER_REPORTED_UNREACHABLE, "server", about, "believed", believed);
         }
     }
 }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/RolloutFeed.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/RolloutFeed.java
@@ -81,7 +81,7 @@
             return;
         }
         EventLog.write(
-                Event.ROLLOUT_STATE,
+                Event.ROLLOUT_STATE_CHANGED,
                 "service",
                 order.service(),
                 "target",
@@ -114,14 +114,15 @@
     }
 
     private void writeDue(final ServiceName service, final Canary canary) {
-        final Optional<RolloutPhase> phase = canary.due();
+        final Optional<RolloutPhase> phase = canary.phaseToWrite();
         if (phase.isEmpty()) {
             due.remove(service);
             turns.forget(service);
             return;
         }
         final String target = canary.order().orElseThrow().target();
-        final boolean urgent = phase.get() == RolloutPhase.ROLLED_BACK && !canary.repeats();
+        final boolean urgent =
+                phase.get() == RolloutPhase.ROLLED_BACK && !canary.rewritesLostPhase();
         final boolean ownTurn = urgent || isOwnTurn(service, new Due(target, phase.get()));
         if (ownTurn && writing.add(service)) {
             write(service, canary, phase.get());
@@ -145,7 +146,7 @@
         final Instant begunAt = wallClock.instant().minus(canary.elapsed());
         store.writePhase(order, phase, begunAt, answer -> onWritten(service, phase, answer));
         EventLog.write(
-                Event.ROLLOUT_WRITE,
+                Event.ROLLOUT_STATE_WRITTEN,
                 "service",
                 service,
                 "target",
@@ -155,7 +156,7 @@
                 "revision",
                 order.position(),
                 "again",
-                canary.repeats(),
+                canary.rewritesLostPhase(),
                 "reason",
                 canary.evidence());
     }
