--- a/fennelstage-gateway/src/main/java/org/fennelstage/store/EraTracker.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/store/EraTracker.java
@@ -95,7 +95,7 @@
     private void notifyListeners(final Position before, final StoreKind<?> kind) {
         restoreCount++;
         EventLog.write(
-                Event.STORE_REPLACED,
+                Event.STORE_RESTORED,
                 "kind",
                 kind,
                 "had",
--- a/fennelstage-gateway/src/main/java/org/fennelstage/store/Follower.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/store/Follower.java
@@ -238,7 +238,7 @@
     }
 
     private void logStaleResult(final Page<T> page) {
-        EventLog.write(Event.STALE_ANSWER, "kind", kind, "has", position, "got", page.position());
+        EventLog.write(Event.STALE_RESPONSE, "kind", kind, "has", position, "got", page.position());
     }
 
     private void watch() {
@@ -337,7 +337,7 @@
     private void onSuccess() {
         if (failures > 0) {
             EventLog.write(
-                    Event.STORE_BACK,
+                    Event.STORE_RECOVERED,
                     "kind",
                     kind,
                     "failed_calls",
@@ -353,7 +353,7 @@
     private void onListFailed() {
         if (!unavailable) {
             unavailable = true;
-            EventLog.write(Event.STORE_AWAY, "kind", kind, "revision", position);
+            EventLog.write(Event.STORE_UNAVAILABLE, "kind", kind, "revision", position);
             listener.onStoreUnavailable();
         }
     }
@@ -361,7 +361,7 @@
     private void retry(final String detail) {
         failures++;
         if (failures == 1) {
-            EventLog.write(Event.STORE_LOST, "kind", kind, "revision", position, "detail", detail);
+            EventLog.write(Event.STORE_CALL_FAILED, "kind", kind, "revision", position, "detail", detail);
             listener.onStoreCallFailed();
         }
         final long maxDelayMillis =
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/EvacuationFeed.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/EvacuationFeed.java
@@ -63,7 +63,7 @@
 
     @Override
     public void onStoreRestored() {
-        evacuations.onStoreReplaced();
+        evacuations.onStoreRestored();
         unsettled = true;
         settledAtMillis = beliefs.clock().millis() + Beliefs.REWRITE_MILLIS;
     }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/ServerFeed.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/ServerFeed.java
@@ -86,17 +86,17 @@
 
     @Override
     public void onStoreCallFailed() {
-        servers.onStoreDoubted();
+        servers.onStoreCallFailed();
     }
 
     @Override
     public void onStoreUnavailable() {
-        servers.onStoreLost();
+        servers.onStoreUnavailable();
     }
 
     @Override
     public void onStoreAvailable() {
-        servers.onStoreBack();
+        servers.onStoreAvailable();
     }
 
     @Override
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/QuarantineFeedTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/QuarantineFeedTest.java
@@ -93,7 +93,7 @@
         feed.writeDue();
         assertThat(store.waiting()).hasSize(1);
         feed.onAll(List.of(stored(Optional.of(CONTENT))));
-        assertThat(crashes.quarantine().left(CONTENT)).isEmpty();
+        assertThat(crashes.quarantine().remaining(CONTENT)).isEmpty();
         store.answer(new StoreResult.Done<>(null));
         feed.onChange(stored(Optional.empty()));
         feed.writeDue();
