--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/EvacuationFeed.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/EvacuationFeed.java
@@ -66,7 +66,7 @@
     }
 
     @Override
-    public void onReplaced() {
+    public void onStoreRestored() {
         evacuations.onStoreRestored();
         awaitingRewrites = true;
         rewritesEndMillis = beliefs.clock().millis() + GatewayState.REWRITE_MILLIS;
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/GatewayVm.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/GatewayVm.java
@@ -166,7 +166,7 @@
                             PERIODIC_TASK_MILLIS,
                             TimeUnit.MILLISECONDS);
                     peers.start(loop, store);
-                    eras.onRise(() -> peers.onStoreRestored(loop, store, random));
+                    eras.onNewEra(() -> peers.onStoreRestored(loop, store, random));
                 });
     }
 
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/ServerFeed.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/ServerFeed.java
@@ -88,22 +88,22 @@
     }
 
     @Override
-    public void onLost() {
+    public void onStoreCallFailed() {
         servers.onStoreCallFailed();
     }
 
     @Override
-    public void onAway() {
+    public void onStoreUnavailable() {
         servers.onStoreUnavailable();
     }
 
     @Override
-    public void onBack() {
+    public void onStoreAvailable() {
         servers.onStoreAvailable();
     }
 
     @Override
-    public void onReplaced() {
+    public void onStoreRestored() {
         beliefs.onStoreRestored();
     }
 
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/StoreWatches.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/StoreWatches.java
@@ -47,7 +47,7 @@
      * outage.
      */
     static final WatchPace QUARANTINE_PACE =
-            WatchPace.ofMillis(30_000, 0).withLongestBackoff(Duration.ofSeconds(4));
+            WatchPace.ofMillis(30_000, 0).withMaxBackoff(Duration.ofSeconds(4));
 
     /** Pace of the watch on the quarantine until its first list, which readiness requires. */
     static final WatchPace FIRST_QUARANTINE_PACE = WatchPace.ofMillis(30_000, 0);
