--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/GatewaySettings.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/GatewaySettings.java
@@ -37,7 +37,7 @@
      *
      * @return the shorter of both delays
      */
-    public Duration minPropagationDelay() {
+    public Duration maxPropagationDelay() {
         return configurationDelay.compareTo(drainingDelay) < 0 ? configurationDelay : drainingDelay;
     }
 }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/store/Follower.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/store/Follower.java
@@ -361,7 +361,8 @@
     private void retry(final String detail) {
         failures++;
         if (failures == 1) {
-            EventLog.write(Event.STORE_CALL_FAILED, "kind", kind, "revision", position, "detail", detail);
+            EventLog.write(
+                    Event.STORE_CALL_FAILED, "kind", kind, "revision", position, "detail", detail);
             listener.onStoreCallFailed();
         }
         final long maxDelayMillis =
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/GatewayVm.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/GatewayVm.java
@@ -104,7 +104,7 @@
                 new CoalescedStore(
                         store,
                         peers::coalescingRelays,
-                        () -> this.settings.bounds().minPropagationDelay(),
+                        () -> this.settings.bounds().maxPropagationDelay(),
                         clock);
         this.readiness = new Readiness(settings, beliefs);
         this.serverFeed = new ServerFeed(beliefs, readiness::onServersListed);
