--- a/fennelstage-peer/src/main/java/org/fennelstage/peer/PeerCodec.java
+++ b/fennelstage-peer/src/main/java/org/fennelstage/peer/PeerCodec.java
@@ -19,7 +19,7 @@
 import org.fennelstage.rollout.HaltTable;
 import org.fennelstage.rollout.Signal;
 
-/** Core types in messages. Stateless and thread-safe. */
+/** Converts core types to and from peer messages. Stateless and thread-safe. */
 final class PeerCodec {
 
     private static final Member.State[] MEMBER_STATES = Member.State.values();
--- a/fennelstage-peer/src/main/java/org/fennelstage/peer/PeerGroup.java
+++ b/fennelstage-peer/src/main/java/org/fennelstage/peer/PeerGroup.java
@@ -27,20 +27,20 @@
 import org.fennelstage.rollout.HaltTable;
 
 /**
- * Keeps the members, the configuration and the halts of this VM in step with those of others.
+ * Synchronizes members, configuration and halts between this VM and its peers.
  *
- * <p>A change is pushed at once to the whole own data centre and to one VM of each other; a VM that
- * hears it first in its data centre pushes it on there. Each probe and its answer carry digests, so
- * whatever a push missed is pulled within a few periods. Nothing here needs the platform.
+ * <p>A change is pushed immediately to all VMs of the own data centre and to one VM of each other
+ * data centre; a VM that receives a new change from another data centre forwards it within its own.
+ * Each probe and its reply carry digests, so that a change missed by a push is pulled within a few
+ * periods. Works without the store.
  *
- * <p>Invariant: the messages a VM sends without cause do not grow with the number of VMs.
- * Thread-safe; the tables it keeps in step have monitors of their own and none is held while
- * another is taken.
+ * <p>Invariant: the number of periodic messages per VM does not grow with the number of VMs.
+ * Thread-safe; each synchronized table has its own monitor, and no two monitors are held at once.
  */
 public final class PeerGroup implements AutoCloseable {
 
-    private static final int HELPERS = 2;
-    private static final int PUSH_BATCH = 200;
+    private static final int INDIRECT_PROBERS = 2;
+    private static final int MAX_OBJECTS_PER_PUSH = 200;
 
     private final MemberTable members;
     private final ConfigurationTable configuration;
@@ -53,45 +53,45 @@
     private volatile PeerNetwork network;
     private volatile boolean closed;
 
-    /** Hears what changed. Called on event loops; must not block. */
+    /** Receives notifications of changes. Called on event loops; must not block. */
     public interface Listener {
 
         /**
-         * Configuration objects are newer than before.
+         * Called after newer configuration objects were merged.
          *
-         * @param changed the objects
+         * @param changed the objects that are newer than before
          */
         void onConfiguration(List<StoredObject> changed);
 
         /**
-         * A VM came, went, or changed state.
+         * Called when a VM was added or its state changed.
          *
-         * @param member the new belief
+         * @param member the VM with its new state
          */
         void onMember(Member member);
 
-        /** More candidates are known to be bad. */
+        /** Called after halts were added to the table. */
         void onHalts();
     }
 
     /**
-     * What a group works on.
+     * The tables that a group synchronizes. Immutable; the tables are thread-safe.
      *
-     * @param members the VMs
-     * @param configuration the configuration
-     * @param halts the halted roll-outs
+     * @param members the known VMs
+     * @param configuration the configuration objects
+     * @param halts the halted rollouts
      */
     public record Tables(MemberTable members, ConfigurationTable configuration, HaltTable halts) {}
 
     /**
      * Creates a group that does nothing until {@link #start}.
      *
-     * @param tables what it keeps in step
-     * @param loop runs its timers
-     * @param timing how often it talks
-     * @param random chooses among peers
-     * @param seeds addresses of VMs to begin with
-     * @param listener hears changes
+     * @param tables the tables to synchronize
+     * @param loop the event loop of the periodic probes
+     * @param timing the probe period and timeouts
+     * @param random selects peers and the delay of the first probe
+     * @param seeds addresses of the VMs to join through
+     * @param listener receives notifications of changes
      */
     public PeerGroup(
             final Tables tables,
@@ -111,24 +111,24 @@
     }
 
     /**
-     * Begins to talk.
+     * Joins the group through the seeds and starts the periodic probes.
      *
-     * @param over the network
+     * @param peerNetwork the network to send over
      */
-    public void start(final PeerNetwork over) {
-        network = over;
+    public void start(final PeerNetwork peerNetwork) {
+        network = peerNetwork;
         join();
         final long period = timing.period().toMillis();
         loop.scheduleWithFixedDelay(
-                this::tick, random.nextLong(period) + 1, period, TimeUnit.MILLISECONDS);
+                this::probeNext, random.nextLong(period) + 1, period, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Takes a message if it is one of this group's.
+     * Processes a message if it is of a kind that this group handles.
      *
      * @param message the message
-     * @param reply sends the answer
-     * @return false if the message belongs to someone else
+     * @param reply sends the reply
+     * @return false if the message is of another kind and was not processed
      */
     public boolean handle(final Envelope message, final Consumer<Envelope.Builder> reply) {
         switch (message.getBodyCase()) {
@@ -145,7 +145,7 @@
     }
 
     /**
-     * Merges objects heard from the platform and passes on what is new.
+     * Merges objects read from the store and pushes the newer ones to peers.
      *
      * @param objects the objects
      */
@@ -158,26 +158,26 @@
         push(accepted, true);
     }
 
-    /** Passes on the halts after one was added here. */
+    /** Notifies the listener and pushes all halts to peers after a halt was added on this VM. */
     public void publishHalts() {
         listener.onHalts();
         pushHalts(true);
     }
 
     /**
-     * Returns where a VM listens for peers.
+     * Returns the address on which a VM listens for peers.
      *
      * @param id the VM
-     * @return the address, empty if unknown or dead
+     * @return the address, empty if the VM is unknown or dead
      */
     public Optional<InetSocketAddress> address(final VmId id) {
         return members.find(id).filter(m -> m.state() != Member.State.DEAD).map(PeerGroup::address);
     }
 
-    /** Tells a few peers that this VM is leaving. */
+    /** Marks this VM as draining and reports it to a few peers. */
     public void leave() {
         members.startDraining();
-        for (int i = 0; i < HELPERS; i++) {
+        for (int i = 0; i < INDIRECT_PROBERS; i++) {
             members.nextProbe().ifPresent(m -> network.send(address(m), probe(false)));
         }
     }
@@ -193,10 +193,10 @@
 
     private void join(final InetSocketAddress seed) {
         network.request(seed, probe(true), timing.timeout())
-                .thenAccept(r -> r.ifPresent(e -> compare(seed, e.getProbe())));
+                .thenAccept(r -> r.ifPresent(e -> mergeProbe(seed, e.getProbe())));
     }
 
-    private void tick() {
+    private void probeNext() {
         if (closed) {
             return;
         }
@@ -207,8 +207,8 @@
         } else {
             join();
         }
-        // A data centre that was cut off for long has declared the others dead and would never
-        // probe them again; the seeds are asked now and then so that both sides find each other.
+        // After a long network partition each side has marked the other as dead and no longer
+        // probes it. Joining a random seed occasionally reconnects them.
         if (!seeds.isEmpty() && random.nextInt(20) == 0) {
             join(seeds.get(random.nextInt(seeds.size())));
         }
@@ -220,29 +220,29 @@
                 .thenAccept(
                         reply -> {
                             if (reply.isPresent()) {
-                                compare(address, reply.get().getProbe());
+                                mergeProbe(address, reply.get().getProbe());
                             } else {
-                                probeThroughOthers(target);
+                                probeIndirectly(target);
                             }
                         });
     }
 
-    private void probeThroughOthers(final Member target) {
-        final List<Member> helpers = members.indirectProbers(target.id(), HELPERS);
+    private void probeIndirectly(final Member target) {
+        final List<Member> probers = members.indirectProbers(target.id(), INDIRECT_PROBERS);
         final Envelope.Builder body =
                 Envelope.newBuilder()
                         .setProbeRequest(ProbeRequest.newBuilder().setTarget(target.id().value()));
-        final List<java.util.concurrent.CompletableFuture<Boolean>> answers = new ArrayList<>();
-        for (final Member helper : helpers) {
-            answers.add(
-                    network.request(address(helper), body.clone(), timing.timeout().multipliedBy(2))
+        final List<java.util.concurrent.CompletableFuture<Boolean>> results = new ArrayList<>();
+        for (final Member prober : probers) {
+            results.add(
+                    network.request(address(prober), body.clone(), timing.timeout().multipliedBy(2))
                             .thenApply(r -> r.filter(e -> e.getDone().getAccepted()).isPresent()));
         }
         java.util.concurrent.CompletableFuture.allOf(
-                        answers.toArray(new java.util.concurrent.CompletableFuture<?>[0]))
+                        results.toArray(new java.util.concurrent.CompletableFuture<?>[0]))
                 .thenRun(
                         () -> {
-                            if (answers.stream().noneMatch(a -> a.join())) {
+                            if (results.stream().noneMatch(r -> r.join())) {
                                 members.suspect(target.id()).ifPresent(listener::onMember);
                             }
                         });
@@ -254,12 +254,12 @@
                 probe.getMembersCount() == 0
                         ? Optional.empty()
                         : members.find(VmId.of(probe.getMembers(0).getId()));
-        final Envelope.Builder answer = probe.getJoining() ? wholeTable() : probe(false);
-        // A VM that was cut off or paused is believed dead here and is not probed any more. Unless
-        // it is told so it never contradicts, and stays without duties although it serves.
+        final Envelope.Builder replyBody = probe.getJoining() ? fullMemberTable() : probe(false);
+        // A sender marked as suspect or dead here must receive that state to refute it. Otherwise
+        // it is never probed again and gets no duties although it serves requests.
         sender.filter(m -> m.state().compareTo(Member.State.SUSPECT) >= 0)
-                .ifPresent(m -> answer.getProbeBuilder().addMembers(PeerCodec.encode(m)));
-        reply.accept(answer);
+                .ifPresent(m -> replyBody.getProbeBuilder().addMembers(PeerCodec.encode(m)));
+        reply.accept(replyBody);
         sender.ifPresent(m -> compareDigests(address(m), probe));
     }
 
@@ -312,15 +312,15 @@
         return changed;
     }
 
-    private void compare(final InetSocketAddress from, final Probe theirs) {
+    private void mergeProbe(final InetSocketAddress from, final Probe theirs) {
         mergeMembers(theirs);
         compareDigests(from, theirs);
     }
 
     private void mergeMembers(final Probe probe) {
-        final List<Member> beliefs =
+        final List<Member> received =
                 probe.getMembersList().stream().map(PeerCodec::decode).toList();
-        members.merge(beliefs).forEach(listener::onMember);
+        members.merge(received).forEach(listener::onMember);
     }
 
     private void compareDigests(final InetSocketAddress from, final Probe theirs) {
@@ -329,7 +329,7 @@
         if (highest.isAfter(ours.highest())) {
             pull(from, ours.highest());
         } else if (theirs.getConfigurationHash() != ours.hash() && highest.equals(ours.highest())) {
-            // Same newest revision but another content: one of us missed an older change.
+            // Equal highest revisions with different hashes: one VM missed an older change.
             pull(from, Revision.NONE);
         }
         if (theirs.getHaltsHash() != halts.hash() && theirs.getHaltsHash() != 0) {
@@ -361,28 +361,28 @@
                 .thenAccept(r -> r.ifPresent(e -> mergeHalts(e.getHalts())));
     }
 
-    private void push(final List<StoredObject> objects, final boolean alsoRemote) {
-        for (int from = 0; from < objects.size(); from += PUSH_BATCH) {
+    private void push(final List<StoredObject> objects, final boolean includeRemote) {
+        for (int from = 0; from < objects.size(); from += MAX_OBJECTS_PER_PUSH) {
             final List<StoredObject> batch =
-                    objects.subList(from, Math.min(objects.size(), from + PUSH_BATCH));
+                    objects.subList(from, Math.min(objects.size(), from + MAX_OBJECTS_PER_PUSH));
             final Envelope.Builder body = Envelope.newBuilder().setObjects(PeerCodec.encode(batch));
-            targets(alsoRemote).forEach(a -> network.send(a, body.clone()));
+            pushTargets(includeRemote).forEach(a -> network.send(a, body.clone()));
         }
     }
 
-    private void pushHalts(final boolean alsoRemote) {
+    private void pushHalts(final boolean includeRemote) {
         final Envelope.Builder body = Envelope.newBuilder().setHalts(PeerCodec.encode(halts));
-        targets(alsoRemote).forEach(a -> network.send(a, body.clone()));
+        pushTargets(includeRemote).forEach(a -> network.send(a, body.clone()));
     }
 
-    private List<InetSocketAddress> targets(final boolean alsoRemote) {
+    private List<InetSocketAddress> pushTargets(final boolean includeRemote) {
         final List<InetSocketAddress> targets = new ArrayList<>();
         for (final VmId id : members.dutyVms()) {
             members.find(id).ifPresent(m -> targets.add(address(m)));
         }
-        if (alsoRemote) {
-            for (final List<Member> contacts : members.remoteMembers().values()) {
-                final List<Member> shuffled = new ArrayList<>(contacts);
+        if (includeRemote) {
+            for (final List<Member> candidates : members.remoteMembers().values()) {
+                final List<Member> shuffled = new ArrayList<>(candidates);
                 Collections.shuffle(shuffled, new java.util.Random(random.nextLong()));
                 targets.add(address(shuffled.get(0)));
             }
@@ -405,7 +405,7 @@
         return Envelope.newBuilder().setProbe(builder);
     }
 
-    private Envelope.Builder wholeTable() {
+    private Envelope.Builder fullMemberTable() {
         final Probe.Builder builder = digests();
         members.all().forEach(m -> builder.addMembers(PeerCodec.encode(m)));
         return Envelope.newBuilder().setProbe(builder);
--- a/fennelstage-peer/src/main/java/org/fennelstage/peer/PeerNetwork.java
+++ b/fennelstage-peer/src/main/java/org/fennelstage/peer/PeerNetwork.java
@@ -35,11 +35,11 @@
 import org.fennelstage.peer.generated.Envelope;
 
 /**
- * Sends messages to other entry VMs and takes theirs, over TCP with protobuf.
+ * Sends and receives peer messages as protobuf over TCP.
  *
- * <p>Invariants: one outgoing connection per address, opened when needed; a request ends with its
- * reply or, after its timeout, with none. An ended request may have been acted upon all the same.
- * Thread-safe.
+ * <p>Invariants: at most one outgoing connection per address, opened on demand; a request completes
+ * with its reply, or empty after a timeout or connection failure. The peer may have processed a
+ * request that completed empty. Thread-safe.
  */
 public final class PeerNetwork implements AutoCloseable {
 
@@ -75,14 +75,14 @@
     }
 
     /**
-     * Binds and begins to take messages.
+     * Binds the listener and starts to receive messages.
      *
      * @param group the event loops
-     * @param self the own VM
-     * @param address where to listen; port 0 takes any free one
+     * @param self the id of this VM
+     * @param address the address to listen on; port 0 selects a free port
      * @param tls the TLS contexts
      * @param reachability which addresses may be connected to
-     * @param handler takes the messages
+     * @param handler processes received messages
      * @return the running network
      * @throws IOException if the address cannot be bound
      */
@@ -100,7 +100,7 @@
     }
 
     /**
-     * Returns the port it listens on.
+     * Returns the port of the listener.
      *
      * @return the TCP port
      */
@@ -113,18 +113,18 @@
     }
 
     /**
-     * Returns the bytes of all messages sent, without those of TCP and TLS.
+     * Returns the total size of all messages sent, without the overhead of framing, TCP and TLS.
      *
-     * @return the bytes
+     * @return the size in bytes
      */
     public long bytesSent() {
         return bytesSent.sum();
     }
 
     /**
-     * Sends a message that wants no reply.
+     * Sends a message that expects no reply.
      *
-     * @param to where to
+     * @param to the address of the peer
      * @param body the message
      */
     public void send(final InetSocketAddress to, final Envelope.Builder body) {
@@ -132,12 +132,12 @@
     }
 
     /**
-     * Sends a message and waits for the reply.
+     * Sends a message and returns a future of its reply.
      *
-     * @param to where to
+     * @param to the address of the peer
      * @param body the message
-     * @param timeout the longest wait
-     * @return the reply, empty if none came in time
+     * @param timeout the maximum time to wait for the reply
+     * @return completes with the reply, or empty after the timeout or a connection failure
      */
     public CompletableFuture<Optional<Envelope>> request(
             final InetSocketAddress to, final Envelope.Builder body, final Duration timeout) {
@@ -172,7 +172,7 @@
                                     @Override
                                     protected void initChannel(final SocketChannel channel) {
                                         accepted.add(channel);
-                                        build(channel, tls.server().get());
+                                        initPipeline(channel, tls.server().get());
                                     }
                                 })
                         .bind(address)
@@ -188,7 +188,8 @@
             complete(message.getCorrelation(), Optional.empty());
             return;
         }
-        final ChannelFuture connected = outgoing.compute(to, (a, f) -> reuse(f) ? f : connect(a));
+        final ChannelFuture connected =
+                outgoing.compute(to, (a, f) -> isReusable(f) ? f : connect(a));
         connected.addListener(
                 f -> {
                     if (f.isSuccess()) {
@@ -200,7 +201,7 @@
                 });
     }
 
-    private static boolean reuse(final ChannelFuture connected) {
+    private static boolean isReusable(final ChannelFuture connected) {
         return connected != null && (!connected.isDone() || connected.channel().isActive());
     }
 
@@ -214,15 +215,15 @@
                         new ChannelInitializer<SocketChannel>() {
                             @Override
                             protected void initChannel(final SocketChannel channel) {
-                                build(channel, tls.client().get());
+                                initPipeline(channel, tls.client().get());
                             }
                         })
                 .connect(to);
     }
 
     private void writeTo(final Channel channel, final Envelope message) {
-        // A paused peer reads nothing; what we queue for it would grow until our memory is used up.
-        // What is dropped here is repeated by its sender or made good by the next digest.
+        // Bounds the memory used for a peer that does not read. The next digest comparison or a
+        // retry by the sender makes up for a dropped message.
         if (channel.unsafe().outboundBuffer() == null
                 || channel.unsafe().outboundBuffer().totalPendingWriteBytes() > MAX_QUEUED_BYTES) {
             return;
@@ -232,14 +233,14 @@
         channel.writeAndFlush(message);
     }
 
-    private void build(final SocketChannel channel, final Optional<SslContext> context) {
+    private void initPipeline(final SocketChannel channel, final Optional<SslContext> context) {
         context.ifPresent(c -> channel.pipeline().addLast(c.newHandler(channel.alloc())));
         channel.pipeline()
                 .addLast(new ProtobufVarint32FrameDecoder())
                 .addLast(new ProtobufDecoder(Envelope.getDefaultInstance()))
                 .addLast(new ProtobufVarint32LengthFieldPrepender())
                 .addLast(new ProtobufEncoder())
-                .addLast(new Inbound());
+                .addLast(new InboundHandler());
     }
 
     private void complete(final long correlation, final Optional<Envelope> reply) {
@@ -249,14 +250,14 @@
         }
     }
 
-    private final class Inbound extends SimpleChannelInboundHandler<Envelope> {
+    private final class InboundHandler extends SimpleChannelInboundHandler<Envelope> {
         @Override
         protected void channelRead0(final ChannelHandlerContext context, final Envelope message) {
             if (message.getReply()) {
                 complete(message.getCorrelation(), Optional.of(message));
                 return;
             }
-            handler.handle(message, body -> answer(context.channel(), message, body));
+            handler.handle(message, body -> reply(context.channel(), message, body));
         }
 
         @Override
@@ -265,7 +266,7 @@
             context.close();
         }
 
-        private void answer(
+        private void reply(
                 final Channel channel, final Envelope request, final Envelope.Builder body) {
             if (request.getCorrelation() == 0) {
                 return;
--- a/fennelstage-peer/src/main/java/org/fennelstage/peer/Reachability.java
+++ b/fennelstage-peer/src/main/java/org/fennelstage/peer/Reachability.java
@@ -3,8 +3,8 @@
 import java.net.InetSocketAddress;
 
 /**
- * Tells whether an address may be connected to. Tests cut VMs off with it; in service everything is
- * permitted.
+ * Decides which peer addresses messages may be sent to. Production code permits all; tests simulate
+ * network partitions with it.
  */
 @FunctionalInterface
 public interface Reachability {
@@ -13,10 +13,10 @@
     Reachability ALL = address -> true;
 
     /**
-     * Tells whether an address may be connected to.
+     * Tells whether messages may be sent to an address.
      *
      * @param address the address
-     * @return true if it may
+     * @return true if sending is permitted
      */
     boolean permits(InetSocketAddress address);
 }
--- a/fennelstage-peer/src/main/java/org/fennelstage/peer/package-info.java
+++ b/fennelstage-peer/src/main/java/org/fennelstage/peer/package-info.java
@@ -1,4 +1,2 @@
-/**
- * Messages between entry VMs: transport, membership and the spreading of configuration and halts.
- */
+/** Messages between VMs: transport, membership, and distribution of configuration and halts. */
 package org.fennelstage.peer;
