--- a/fennelstage-standin/src/main/java/org/fennelstage/standin/ModelEngine.java
+++ b/fennelstage-standin/src/main/java/org/fennelstage/standin/ModelEngine.java
@@ -24,28 +24,31 @@
 import org.fennelstage.objects.Json;
 
 /**
- * A model engine with continuous batching, a bounded prefix cache and a load report that lags.
+ * A stand-in model engine with continuous batching, a bounded prompt cache and a delayed load
+ * report.
  *
  * <p>{@code POST /v1/chat/completions} streams tokens as server-sent events; {@code GET /load}
- * gives the lagging load; {@code GET /admin/executions} lists the requests that ran. Answers carry
- * their quality as {@code [[q=…]]}, which the rating stand-in reads. One monitor guards its state.
+ * returns the delayed load; {@code GET /admin/executions} lists the requests that ran. Answers
+ * contain their quality as {@code [[q=…]]}, which the rating stand-in reads.
+ *
+ * <p>Thread-safe; one monitor guards the mutable state.
  */
 public final class ModelEngine implements AutoCloseable {
 
     private static final ServerLimits LIMITS =
             ServerLimits.of(16 * 1024, 1024 * 1024, Duration.ofMinutes(5));
-    private static final int PREFIX_CHARACTERS = 64;
-    private static final int CACHED_PREFIXES = 64;
-    private static final double CACHED_PREFILL = 0.2;
-    private static final double SLOWDOWN_PER_RUNNING = 0.03;
-    private static final double QUALITY_NOISE = 0.08;
-    private static final long REPORT_LAG_MILLIS = 500;
+    private static final int MAX_PREFIX_CHARACTERS = 64;
+    private static final int MAX_CACHED_PREFIXES = 64;
+    private static final double CACHED_PREFILL_FACTOR = 0.2;
+    private static final double SLOWDOWN_PER_REQUEST = 0.03;
+    private static final double QUALITY_STANDARD_DEVIATION = 0.08;
+    private static final long REPORT_PERIOD_MILLIS = 500;
 
     private final Map<VersionId, VersionBehaviour> versions;
     private final int slots;
     private final Random random;
-    private final PrefixCache cache = new PrefixCache(CACHED_PREFIXES);
-    private final Queue<Run> queue = new ArrayDeque<>();
+    private final PrefixCache cache = new PrefixCache(MAX_CACHED_PREFIXES);
+    private final Queue<EngineRequest> queue = new ArrayDeque<>();
     private final List<Execution> executions = new ArrayList<>();
     private int running;
     private int prefixHits;
@@ -60,25 +63,25 @@
     }
 
     /**
-     * The load as the engine reports it, some time late.
+     * The load that the engine reports. Immutable and thread-safe.
      *
-     * @param running requests in the batch
-     * @param queued requests waiting
-     * @param prefixHits prompts whose prefix was cached, since the start
+     * @param running the number of requests in the batch
+     * @param queued the number of waiting requests
+     * @param prefixHits the number of prompts since the start whose prefix was cached
      */
     public record Load(int running, int queued, int prefixHits) {}
 
     /**
-     * One request that ran.
+     * A request that ran. Immutable and thread-safe.
      *
-     * @param request the router's request id
-     * @param key the caller's idempotency key, empty if none
-     * @param version what it ran on
-     * @param atMillis when it began; milliseconds since the epoch
+     * @param request the request id set by the router, empty if none
+     * @param key the idempotency key of the caller, empty if none
+     * @param version the version that ran the request, empty for a plain service
+     * @param atMillis the start time, in milliseconds since the epoch
      */
     public record Execution(String request, String key, String version, long atMillis) {}
 
-    private record Run(
+    private record EngineRequest(
             ServerExchange exchange,
             VersionBehaviour behaviour,
             String prompt,
@@ -90,10 +93,10 @@
      * Starts an engine.
      *
      * @param group the event loops
-     * @param address where to listen; port 0 takes any free one
-     * @param behaviours its versions
-     * @param slots how many requests it runs at once
-     * @param seed decides which requests fail
+     * @param address the address to listen on; port 0 selects a free port
+     * @param behaviours the behaviour of each loaded version
+     * @param slots the maximum number of concurrent requests
+     * @param seed the seed of random failures, truncations and quality
      * @return the running engine
      * @throws IOException if the address cannot be bound
      */
@@ -108,9 +111,9 @@
         engine.server = HttpServer.start(group, address, LIMITS, engine::handle);
         group.next()
                 .scheduleWithFixedDelay(
-                        engine::report,
-                        REPORT_LAG_MILLIS,
-                        REPORT_LAG_MILLIS,
+                        engine::updateReport,
+                        REPORT_PERIOD_MILLIS,
+                        REPORT_PERIOD_MILLIS,
                         TimeUnit.MILLISECONDS);
         return engine;
     }
@@ -120,18 +123,18 @@
     }
 
     /**
-     * Changes how one version answers from now on.
+     * Replaces the behaviour of a version for requests received from now on.
      *
-     * @param behaviour the version's new behaviour
+     * @param behaviour the new behaviour
      */
     public synchronized void behave(final VersionBehaviour behaviour) {
         versions.put(behaviour.version(), behaviour);
     }
 
     /**
-     * Returns all requests that ran, in order.
+     * Returns all requests that ran, in the order of their start.
      *
-     * @return the executions
+     * @return an immutable copy of the executions
      */
     public synchronized List<Execution> executions() {
         return List.copyOf(executions);
@@ -165,20 +168,23 @@
             return;
         }
         final String prompt = body.path("messages").toString();
-        final Run run;
+        final EngineRequest request;
         synchronized (this) {
             final double quality = quality(behaviour, prompt);
-            final double confidence = clamp(quality + random.nextGaussian() * QUALITY_NOISE);
-            run = new Run(exchange, behaviour, prompt, tokens(body), quality, confidence);
+            final double confidence =
+                    clamp(quality + random.nextGaussian() * QUALITY_STANDARD_DEVIATION);
+            request =
+                    new EngineRequest(
+                            exchange, behaviour, prompt, tokens(body), quality, confidence);
         }
         synchronized (this) {
             if (running >= slots) {
-                queue.add(run);
+                queue.add(request);
                 return;
             }
             running++;
         }
-        begin(run);
+        startRequest(request);
     }
 
     private synchronized VersionBehaviour find(final String name) {
@@ -189,101 +195,103 @@
         }
     }
 
-    private void begin(final Run run) {
+    private void startRequest(final EngineRequest request) {
         final double prefill;
         final boolean fails;
         final int tokens;
         synchronized (this) {
-            final var headers = run.exchange().headers();
+            final var headers = request.exchange().headers();
             executions.add(
                     new Execution(
                             headers.get("x-request-id", ""),
                             headers.get("idempotency-key", ""),
-                            run.behaviour().version().toString(),
+                            request.behaviour().version().toString(),
                             System.currentTimeMillis()));
-            final int end = Math.min(PREFIX_CHARACTERS, run.prompt().length());
-            final boolean hit = cache.touch(run.prompt().substring(0, end));
+            final int end = Math.min(MAX_PREFIX_CHARACTERS, request.prompt().length());
+            final boolean hit = cache.touch(request.prompt().substring(0, end));
             prefixHits += hit ? 1 : 0;
-            prefill = run.behaviour().prefillMillis() * (hit ? CACHED_PREFILL : 1);
-            fails = random.nextDouble() < run.behaviour().errors();
-            final boolean truncated = random.nextDouble() < run.behaviour().truncations();
-            tokens = truncated ? Math.max(1, run.tokens() / 2) : run.tokens();
+            prefill = request.behaviour().prefillMillis() * (hit ? CACHED_PREFILL_FACTOR : 1);
+            fails = random.nextDouble() < request.behaviour().errors();
+            final boolean truncated = random.nextDouble() < request.behaviour().truncations();
+            tokens = truncated ? Math.max(1, request.tokens() / 2) : request.tokens();
         }
-        run.exchange()
+        request.exchange()
                 .eventLoop()
                 .schedule(
-                        () -> answer(run, fails, tokens),
+                        () -> respond(request, fails, tokens),
                         Math.max(1, Math.round(prefill)),
                         TimeUnit.MILLISECONDS);
     }
 
-    private void answer(final Run run, final boolean fails, final int tokens) {
+    private void respond(final EngineRequest request, final boolean fails, final int tokens) {
         if (fails) {
-            run.exchange().respond(500, "text/plain", "engine failure\n");
+            request.exchange().respond(500, "text/plain", "engine failure\n");
             release();
             return;
         }
-        run.exchange().begin(200, Map.of("content-type", "text/event-stream"));
-        emit(run, 0, tokens);
+        request.exchange().begin(200, Map.of("content-type", "text/event-stream"));
+        emit(request, 0, tokens);
     }
 
-    private void emit(final Run run, final int index, final int tokens) {
-        if (run.exchange().isEnded()) {
+    private void emit(final EngineRequest request, final int index, final int tokens) {
+        if (request.exchange().isEnded()) {
             release();
             return;
         }
         if (index == tokens) {
-            finish(run, tokens);
+            finish(request, tokens);
             return;
         }
-        write(run, chunk(run, text(run, index), null, Optional.empty()));
+        write(request, chunk(request, text(request, index), null, Optional.empty()));
         final double slowdown;
         synchronized (this) {
-            slowdown = 1 + SLOWDOWN_PER_RUNNING * Math.max(0, running - 1);
+            slowdown = 1 + SLOWDOWN_PER_REQUEST * Math.max(0, running - 1);
         }
-        final long wait = Math.round(run.behaviour().tokenMillis() * slowdown * 1000);
-        run.exchange()
+        final long delayMicros = Math.round(request.behaviour().tokenMillis() * slowdown * 1000);
+        request.exchange()
                 .eventLoop()
-                .schedule(() -> emit(run, index + 1, tokens), wait, TimeUnit.MICROSECONDS);
+                .schedule(
+                        () -> emit(request, index + 1, tokens), delayMicros, TimeUnit.MICROSECONDS);
     }
 
-    private void finish(final Run run, final int tokens) {
-        final String reason = tokens < run.tokens() ? "length" : "stop";
-        write(run, chunk(run, "", reason, Optional.of(tokens)));
-        write(run, "[DONE]");
-        run.exchange().end();
+    private void finish(final EngineRequest request, final int tokens) {
+        final String finishReason = tokens < request.tokens() ? "length" : "stop";
+        write(request, chunk(request, "", finishReason, Optional.of(tokens)));
+        write(request, "[DONE]");
+        request.exchange().end();
         release();
     }
 
     private void release() {
-        final Run next;
+        final EngineRequest next;
         synchronized (this) {
             running--;
-            next = pollLive();
+            next = pollConnected();
             if (next != null) {
                 running++;
             }
         }
         if (next != null) {
-            next.exchange().eventLoop().execute(() -> begin(next));
+            next.exchange().eventLoop().execute(() -> startRequest(next));
         }
     }
 
-    private Run pollLive() {
-        Run next = queue.poll();
+    private EngineRequest pollConnected() {
+        EngineRequest next = queue.poll();
         while (next != null && next.exchange().isEnded()) {
             next = queue.poll();
         }
         return next;
     }
 
-    private String text(final Run run, final int index) {
+    private String text(final EngineRequest request, final int index) {
         return index == 0
-                ? String.format(Locale.ROOT, "[[q=%.3f]] ", run.quality()) + echo(run.prompt())
+                ? String.format(Locale.ROOT, "[[q=%.3f]] ", request.quality())
+                        + echo(request.prompt())
                 : "token" + index + " ";
     }
 
-    /** Repeats the prompt's mark {@code r}, by which a caller sees that the answer is its own. */
+    /** Copies the mark {@code r} of the prompt, so that a caller can match the answer to it. */
     private static String echo(final String prompt) {
         final var mark = Marks.read(prompt, "r");
         return mark.isPresent() ? "[[r=" + (long) mark.getAsDouble() + "]] " : "";
@@ -291,7 +299,10 @@
 
     private double quality(final VersionBehaviour behaviour, final String prompt) {
         final double difficulty = Marks.read(prompt, "d").orElse(0);
-        return clamp(behaviour.skill() - difficulty + random.nextGaussian() * QUALITY_NOISE);
+        return clamp(
+                behaviour.skill()
+                        - difficulty
+                        + random.nextGaussian() * QUALITY_STANDARD_DEVIATION);
     }
 
     private static double clamp(final double value) {
@@ -299,13 +310,13 @@
     }
 
     private static String chunk(
-            final Run run,
+            final EngineRequest request,
             final String content,
             final String finishReason,
             final Optional<Integer> tokens) {
         final var node = Json.mapper().createObjectNode();
         node.put("object", "chat.completion.chunk");
-        node.put("model", run.behaviour().version().toString());
+        node.put("model", request.behaviour().version().toString());
         final var choice = node.putArray("choices").addObject();
         choice.put("index", 0);
         choice.putObject("delta").put("content", content);
@@ -314,16 +325,16 @@
                 t ->
                         node.putObject("usage")
                                 .put("completion_tokens", t)
-                                .put("confidence", run.confidence()));
+                                .put("confidence", request.confidence()));
         return node.toString();
     }
 
-    private static void write(final Run run, final String data) {
-        run.exchange()
+    private static void write(final EngineRequest request, final String data) {
+        request.exchange()
                 .write(Unpooled.copiedBuffer("data: " + data + "\n\n", StandardCharsets.UTF_8));
     }
 
-    private synchronized void report() {
+    private synchronized void updateReport() {
         reported = new Load(running, queue.size(), prefixHits);
     }
 
--- a/fennelstage-standin/src/main/java/org/fennelstage/standin/ObjectApiStandIn.java
+++ b/fennelstage-standin/src/main/java/org/fennelstage/standin/ObjectApiStandIn.java
@@ -27,8 +27,8 @@
 import org.fennelstage.objects.WriteResult;
 
 /**
- * The platform's object API over TCP, with faults on demand ({@code PUT /admin/faults}) and counts
- * of its calls ({@code GET /admin/counts}).
+ * A stand-in of the object API over HTTP. {@code PUT /admin/faults} injects faults; {@code GET
+ * /admin/counts} returns the number of calls.
  *
  * <p>Thread-safe.
  */
@@ -54,11 +54,11 @@
     }
 
     /**
-     * How often the API was called.
+     * The number of calls since the start. Immutable and thread-safe.
      *
-     * @param reads single reads and plain lists
-     * @param writes writes and deletions
-     * @param watches waiting lists
+     * @param reads the number of reads and of lists that do not wait
+     * @param writes the number of writes and deletions
+     * @param watches the number of watches (long polls)
      */
     public record Counts(long reads, long writes, long watches) {}
 
@@ -66,9 +66,9 @@
      * Starts a stand-in.
      *
      * @param group the event loops
-     * @param address where to listen; port 0 takes any free one
-     * @param store what it serves
-     * @param seed decides which calls a random fault strikes
+     * @param address the address to listen on; port 0 selects a free port
+     * @param store the store that it serves
+     * @param seed the seed that selects the calls affected by random faults
      * @return the running stand-in
      * @throws IOException if the address cannot be bound
      */
@@ -92,9 +92,9 @@
     }
 
     /**
-     * Sets how it misbehaves from now on.
+     * Sets the faults to inject from now on.
      *
-     * @param next the faults
+     * @param next the new faults
      */
     public void faults(final ObjectApiFaults next) {
         faults = next;
@@ -153,7 +153,7 @@
         reads.increment();
         final StoredObject current = store.current(key);
         final StoredObject stale = previous.get(key);
-        final boolean useStale = stale != null && strikes(faults.staleReads());
+        final boolean useStale = stale != null && injectsFault(faults.staleReads());
         respond(exchange, 200, useStale ? stale : current);
     }
 
@@ -168,7 +168,7 @@
                 value.map(v -> store.write(key, expected, v, CallPriority.NORMAL))
                         .orElseGet(() -> store.delete(key, expected, CallPriority.NORMAL))
                         .join();
-        if (strikes(faults.lostAnswers())) {
+        if (injectsFault(faults.lostAnswers())) {
             exchange.abort();
             return;
         }
@@ -192,10 +192,13 @@
                         Revision.of(Long.parseLong(query.get("since").get(0))),
                         wait,
                         CallPriority.NORMAL)
-                .thenAccept(result -> exchange.eventLoop().execute(() -> answer(exchange, result)));
+                .thenAccept(
+                        result ->
+                                exchange.eventLoop()
+                                        .execute(() -> respondChanges(exchange, result)));
     }
 
-    private void answer(final ServerExchange exchange, final ChangesResult result) {
+    private void respondChanges(final ServerExchange exchange, final ChangesResult result) {
         if (faults.down()) {
             exchange.abort();
         } else if (result instanceof ChangesResult.Changed changed) {
@@ -207,7 +210,7 @@
         }
     }
 
-    private boolean strikes(final double share) {
+    private boolean injectsFault(final double share) {
         synchronized (random) {
             return share > 0 && random.nextDouble() < share;
         }
--- a/fennelstage-standin/src/main/java/org/fennelstage/standin/PlainService.java
+++ b/fennelstage-standin/src/main/java/org/fennelstage/standin/PlainService.java
@@ -12,8 +12,10 @@
 import org.fennelstage.objects.Json;
 
 /**
- * A plain service that echoes what it is sent and remembers what ran ({@code GET
- * /admin/executions}). One monitor guards its list.
+ * A stand-in service that responds with the method, URI and body size of a request. {@code GET
+ * /admin/executions} lists the requests that ran.
+ *
+ * <p>Thread-safe; one monitor guards the list of executions.
  */
 public final class PlainService implements AutoCloseable {
 
@@ -26,7 +28,7 @@
      * Starts a service.
      *
      * @param group the event loops
-     * @param address where to listen; port 0 takes any free one
+     * @param address the address to listen on; port 0 selects a free port
      * @return the running service
      * @throws IOException if the address cannot be bound
      */
@@ -42,9 +44,9 @@
     }
 
     /**
-     * Returns all requests that ran, in order.
+     * Returns all requests that ran, in the order of their start.
      *
-     * @return the executions
+     * @return an immutable copy of the executions
      */
     public synchronized List<ModelEngine.Execution> executions() {
         return List.copyOf(executions);
--- a/fennelstage-standin/src/main/java/org/fennelstage/standin/PrefixCache.java
+++ b/fennelstage-standin/src/main/java/org/fennelstage/standin/PrefixCache.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The prompt prefixes an engine remembers, least recently used out first. Not thread-safe. */
+/** A bounded LRU cache of prompt prefixes. Not thread-safe. */
 final class PrefixCache {
 
     private final int capacity;
@@ -14,6 +14,7 @@
         this.capacity = capacity;
     }
 
+    /** Adds a prefix or marks it as recently used; returns whether it was cached. */
     boolean touch(final String prefix) {
         final boolean hit = prefixes.put(prefix, Boolean.TRUE) != null;
         if (prefixes.size() > capacity) {
--- a/fennelstage-standin/src/main/java/org/fennelstage/standin/RatingService.java
+++ b/fennelstage-standin/src/main/java/org/fennelstage/standin/RatingService.java
@@ -10,8 +10,8 @@
 import org.fennelstage.http.ServerLimits;
 
 /**
- * The rating service: {@code POST /v1/ratings} with an answer as body returns {@code
- * {"rating":0.87}} after a delay. Stateless and thread-safe.
+ * A stand-in rating service: {@code POST /v1/ratings} with an answer as body returns {@code
+ * {"rating":0.87}} after a delay. Thread-safe.
  */
 public final class RatingService implements AutoCloseable {
 
@@ -26,8 +26,8 @@
      * Starts a service.
      *
      * @param group the event loops
-     * @param address where to listen; port 0 takes any free one
-     * @param delayMillis how late ratings come; milliseconds
+     * @param address the address to listen on; port 0 selects a free port
+     * @param delayMillis the delay of each rating, in milliseconds
      * @return the running service
      * @throws IOException if the address cannot be bound
      */
--- a/fennelstage-standin/src/main/java/org/fennelstage/standin/StandInMain.java
+++ b/fennelstage-standin/src/main/java/org/fennelstage/standin/StandInMain.java
@@ -22,14 +22,14 @@
 
     private static final String HOST = "127.0.0.1";
     private static final long SEED = 42;
-    private static final int USAGE = 2;
+    private static final int EXIT_USAGE = 2;
 
     private StandInMain() {}
 
     /**
-     * Runs until it is stopped.
+     * Starts the stand-ins, which run until the process ends.
      *
-     * @param args the options above
+     * @param args the command-line options
      * @throws IOException if an address cannot be bound
      */
     public static void main(final String[] args) throws IOException {
@@ -38,7 +38,7 @@
             line = new DefaultParser().parse(options(), args);
         } catch (final ParseException e) {
             System.err.println(e.getMessage());
-            System.exit(USAGE);
+            System.exit(EXIT_USAGE);
             return;
         }
         final EventLoopGroup group = new NioEventLoopGroup(4);
@@ -47,21 +47,21 @@
         final List<VersionBehaviour> behaviours =
                 values(line, "version").stream().map(VersionBehaviour::parse).toList();
         for (final String port : values(line, "objects")) {
-            ObjectApiStandIn.start(group, at(port), MemoryObjectStore.empty(), SEED);
+            ObjectApiStandIn.start(group, loopback(port), MemoryObjectStore.empty(), SEED);
         }
         for (final String port : values(line, "rating")) {
-            RatingService.start(group, at(port), ratingDelay);
+            RatingService.start(group, loopback(port), ratingDelay);
         }
         for (final String port : values(line, "engine")) {
-            ModelEngine.start(group, at(port), behaviours, slots, Long.parseLong(port));
+            ModelEngine.start(group, loopback(port), behaviours, slots, Long.parseLong(port));
         }
         for (final String port : values(line, "service")) {
-            PlainService.start(group, at(port));
+            PlainService.start(group, loopback(port));
         }
         System.out.println("stand-ins ready");
     }
 
-    private static InetSocketAddress at(final String port) {
+    private static InetSocketAddress loopback(final String port) {
         return new InetSocketAddress(HOST, Integer.parseInt(port));
     }
 
--- a/fennelstage-standin/src/main/java/org/fennelstage/standin/VersionBehaviour.java
+++ b/fennelstage-standin/src/main/java/org/fennelstage/standin/VersionBehaviour.java
@@ -3,16 +3,16 @@
 import org.fennelstage.id.VersionId;
 
 /**
- * How a version answers in the stand-in engine.
+ * The simulated behaviour of a model version in the stand-in engine.
  *
  * <p>Immutable and thread-safe.
  *
  * @param version the version
  * @param skill the mean quality of answers to the easiest prompt, in [0, 1]
- * @param errors the share of requests that fail
- * @param truncations the share of answers cut short
- * @param tokenMillis the time between tokens of an empty engine; milliseconds
- * @param prefillMillis the time to the first token of an empty engine; milliseconds
+ * @param errors the share of requests that fail, in [0, 1]
+ * @param truncations the share of truncated answers, in [0, 1]
+ * @param tokenMillis the inter-token latency when the engine runs one request, in milliseconds
+ * @param prefillMillis the time to first token with nothing cached, in milliseconds
  */
 public record VersionBehaviour(
         VersionId version,
@@ -29,7 +29,7 @@
      *
      * @param text the text
      * @return the behaviour
-     * @throws IllegalArgumentException if the text has another form
+     * @throws IllegalArgumentException if the text does not have this format
      */
     public static VersionBehaviour parse(final String text) {
         final String[] fields = text.split(",", -1);
--- a/fennelstage-standin/src/main/java/org/fennelstage/standin/package-info.java
+++ b/fennelstage-standin/src/main/java/org/fennelstage/standin/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Small stand-ins for the systems around fennelstage: object API, model engines, plain services and
- * the rating service. For trials, tests and experiments only.
+ * Stand-ins for the systems that fennelstage depends on: object API, model engines, plain services
+ * and the rating service. For tests and experiments only.
  */
 package org.fennelstage.standin;
