--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/ConfigurationFeed.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/ConfigurationFeed.java
@@ -13,10 +13,10 @@
 /** Applies configurations from the store. Not thread-safe; confined to the event loop. */
 final class ConfigurationFeed implements Follower.Listener<ServingConfiguration> {
 
-    private final GatewayState beliefs;
+    private final GatewayState state;
 
-    ConfigurationFeed(final GatewayState beliefs) {
-        this.beliefs = Objects.requireNonNull(beliefs, "beliefs is null");
+    ConfigurationFeed(final GatewayState state) {
+        this.state = Objects.requireNonNull(state, "state is null");
     }
 
     @Override
@@ -30,7 +30,7 @@
     }
 
     private void offer(final ServingConfiguration configuration, final Position position) {
-        final boolean inForce = beliefs.offer(configuration);
+        final boolean inForce = state.offer(configuration);
         EventLog.write(
                 Event.CONFIGURATION_CHANGED,
                 "version",
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/EvacuationFeed.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/EvacuationFeed.java
@@ -20,15 +20,15 @@
  */
 final class EvacuationFeed implements Follower.Listener<DataCentreId> {
 
-    private final GatewayState beliefs;
+    private final GatewayState state;
     private final Evacuations evacuations;
     private final Runnable afterList;
     private boolean awaitingRewrites;
     private long rewritesEndMillis;
 
-    EvacuationFeed(final GatewayState beliefs, final Runnable afterList) {
-        this.beliefs = Objects.requireNonNull(beliefs, "beliefs is null");
-        this.evacuations = beliefs.evacuations();
+    EvacuationFeed(final GatewayState state, final Runnable afterList) {
+        this.state = Objects.requireNonNull(state, "state is null");
+        this.evacuations = state.evacuations();
         this.afterList = Objects.requireNonNull(afterList, "afterList is null");
     }
 
@@ -69,7 +69,7 @@
     public void onStoreRestored() {
         evacuations.onStoreRestored();
         awaitingRewrites = true;
-        rewritesEndMillis = beliefs.clock().millis() + GatewayState.REWRITE_MILLIS;
+        rewritesEndMillis = state.clock().millis() + GatewayState.REWRITE_MILLIS;
     }
 
     /**
@@ -77,14 +77,14 @@
      * again. Called a few times a second.
      */
     void endUnconfirmed() {
-        if (awaitingRewrites && beliefs.clock().millis() >= rewritesEndMillis) {
+        if (awaitingRewrites && state.clock().millis() >= rewritesEndMillis) {
             awaitingRewrites = false;
             evacuations.settle().forEach(dc -> onEnded(dc, "settled"));
         }
     }
 
     private void onEnded(final DataCentreId dataCentre, final Object source) {
-        beliefs.onEvacuationEnded(dataCentre);
+        state.onEvacuationEnded(dataCentre);
         EventLog.write(Event.EVACUATION_ENDED, "data_centre", dataCentre, "source", source);
     }
 
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/GatewayVm.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/GatewayVm.java
@@ -52,7 +52,7 @@
     private VmSettings settings;
     private final NioEventLoopGroup group;
     private final EventLoop loop;
-    private final GatewayState beliefs;
+    private final GatewayState state;
     private final Gateway gateway;
     private final GatewayMetrics metrics = new GatewayMetrics();
     private final ServerFeed serverFeed;
@@ -78,19 +78,19 @@
         this.loop = group.next();
         final MonotonicClock clock = () -> TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
         final RandomGenerator random = RandomGenerator.of("L64X128MixRandom");
-        this.beliefs = new GatewayState(clock, settings.bounds());
+        this.state = new GatewayState(clock, settings.bounds());
         final HttpClient serverClient = new HttpClient(loop);
         final HttpClient storeClient = new HttpClient(loop);
         final Peers peers =
                 new Peers(
                         ownEntry(settings),
                         address -> storeAt.apply(storeClient, Sockets.address(address)),
-                        beliefs::onVmCount);
-        peers.onFleetKnown(others -> beliefs.onVms(settings.vm(), others));
+                        state::onVmCount);
+        peers.onFleetKnown(others -> state.onVms(settings.vm(), others));
         final LoadBoard loadBoard = LoadBoard.of(clock, peers::othersPerLoadPeer);
         this.gateway =
                 new Gateway(
-                        beliefs,
+                        state,
                         codec,
                         serverClient,
                         Placement.of(settings.dataCentre(), random, loadBoard),
@@ -106,11 +106,11 @@
                         peers::coalescingRelays,
                         () -> this.settings.bounds().maxPropagationDelay(),
                         clock);
-        this.readiness = new Readiness(settings, beliefs);
-        this.serverFeed = new ServerFeed(beliefs, readiness::onServersListed);
+        this.readiness = new Readiness(settings, state);
+        this.serverFeed = new ServerFeed(state, readiness::onServersListed);
         this.rolloutFeed =
                 new RolloutFeed(
-                        beliefs,
+                        state,
                         store,
                         InstantSource.system(),
                         peers::rankFor,
@@ -123,7 +123,7 @@
                         clock,
                         readiness::onQuarantineListed);
         gateway.crashes().onQuarantined(quarantineFeed::writeDue);
-        this.evacuationFeed = new EvacuationFeed(beliefs, readiness::onEvacuationsListed);
+        this.evacuationFeed = new EvacuationFeed(state, readiness::onEvacuationsListed);
         this.callerListener =
                 HttpServer.start(group, settings.callers(), this::limits, Optional::empty, gateway);
         startInternalListeners(storeClient, store, serverClient);
@@ -141,19 +141,14 @@
         gateway.onServerDraining(
                 server -> messenger.send(new PeerMessage.Draining(server), peers.allPeers()));
         gateway.crashes().onDetected(crashBroadcast::onReport, crashBroadcast::onClearedCrashes);
-        this.rolloutAges = new RolloutAges(beliefs, peers::loadPeers, messenger::send, random);
+        this.rolloutAges = new RolloutAges(state, peers::loadPeers, messenger::send, random);
         final LoadCollection collection =
                 new LoadCollection(settings.vm(), peers, loadBoard, messenger::send, clock);
         this.dispatcher =
-                new PeerMessageDispatcher(beliefs, gateway.crashes(), collection, rolloutAges);
+                new PeerMessageDispatcher(state, gateway.crashes(), collection, rolloutAges);
         this.loadReports =
                 new LoadReports(
-                        settings.vm(),
-                        beliefs.servers(),
-                        peers,
-                        collection,
-                        messenger::send,
-                        clock);
+                        settings.vm(), state.servers(), peers, collection, messenger::send, clock);
         // Runs on the loop, to which the store client and the state are confined: started from
         // this thread, the first responses would race with the calls that are still being made.
         loop.execute(
@@ -187,10 +182,9 @@
                         settings.store(),
                         store,
                         settings.linkMegabits(),
-                        beliefs.clock()));
+                        state.clock()));
         if (settings.metrics().isPresent()) {
-            final VmMetrics vmMetrics =
-                    new VmMetrics(metrics, beliefs, gateway, eras, serverClient);
+            final VmMetrics vmMetrics = new VmMetrics(metrics, state, gateway, eras, serverClient);
             HttpServer.start(group, settings.metrics().get(), ServerLimits.DEFAULT, vmMetrics);
         }
     }
@@ -201,7 +195,7 @@
                         StoreKind.ROLLOUTS,
                         () -> paceForRareChanges(StoreWatches.ROLLOUT_PACE, peers),
                         rolloutFeed);
-        beliefs.onOrdersNeeded(rollouts::refresh);
+        state.onOrdersNeeded(rollouts::refresh);
         if (settings.evacuations()) {
             watches.of(
                             StoreKind.EVACUATIONS,
@@ -212,7 +206,7 @@
         watches.of(
                         StoreKind.CONFIGURATION,
                         () -> StoreWatches.CONFIGURATION_PACE,
-                        new ConfigurationFeed(beliefs))
+                        new ConfigurationFeed(state))
                 .start();
         rollouts.start();
         watches.of(
@@ -292,7 +286,7 @@
                             "needs_restart",
                             !newer.withBounds(settings.bounds()).equals(settings));
                     settings = settings.withBounds(newer.bounds());
-                    beliefs.apply(newer.bounds());
+                    state.apply(newer.bounds());
                 });
     }
 
@@ -316,7 +310,7 @@
                 gateway.inFlight(),
                 "connections",
                 callerListener.openConnections());
-        final Drain drain = Drain.of(beliefs.clock(), settings.bounds().grace());
+        final Drain drain = Drain.of(state.clock(), settings.bounds().grace());
         awaitDrained(drain, whenStopped);
     }
 
@@ -352,7 +346,7 @@
                 rolloutAges.sendDue();
             }
             serverFeed.removeExpired();
-            beliefs.checkRestoreGrace();
+            state.checkRestoreGrace();
             evacuationFeed.endUnconfirmed();
             rolloutFeed.writeDue();
             crashBroadcast.sendDue();
@@ -375,7 +369,7 @@
 
     private ServerLimits limits() {
         final CallerLimits limits =
-                beliefs.configuration()
+                state.configuration()
                         .map(ServingConfiguration::limits)
                         .orElse(CallerLimits.UNTIL_CONFIGURED);
         return new ServerLimits(
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/PeerMessageDispatcher.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/PeerMessageDispatcher.java
@@ -12,17 +12,17 @@
 /** Dispatches the messages of other VMs. Not thread-safe; confined to the event loop. */
 final class PeerMessageDispatcher {
 
-    private final GatewayState beliefs;
+    private final GatewayState state;
     private final CrashDetector crashes;
     private final LoadCollection loads;
     private final RolloutAges rolloutAges;
 
     PeerMessageDispatcher(
-            final GatewayState beliefs,
+            final GatewayState state,
             final CrashDetector crashes,
             final LoadCollection loads,
             final RolloutAges rolloutAges) {
-        this.beliefs = Objects.requireNonNull(beliefs, "beliefs is null");
+        this.state = Objects.requireNonNull(state, "state is null");
         this.crashes = Objects.requireNonNull(crashes, "crashes is null");
         this.loads = Objects.requireNonNull(loads, "loads is null");
         this.rolloutAges = Objects.requireNonNull(rolloutAges, "rolloutAges is null");
@@ -53,7 +53,7 @@
     }
 
     private void onDraining(final Incarnation server) {
-        if (beliefs.servers().onDraining(server)) {
+        if (state.servers().onDraining(server)) {
             EventLog.write(Event.SERVER_DRAINING, "server", server, "source", "another VM");
         }
     }
@@ -61,7 +61,7 @@
     private void onUnreachable(final Incarnation incarnation, final double draw) {
         // Ignores a report about an earlier incarnation of a backend server that has restarted.
         final Optional<TrackedServer> server =
-                beliefs.servers()
+                state.servers()
                         .find(incarnation.server())
                         .filter(s -> s.entry().incarnation().equals(incarnation));
         if (server.isPresent()) {
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/Peers.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/Peers.java
@@ -113,7 +113,7 @@
     }
 
     private void read(final EventLoop loop, final Store store, final long nextReadMillis) {
-        store.listStale(StoreKind.VMS, answer -> onList(store, answer));
+        store.listStale(StoreKind.VMS, result -> onList(store, result));
         loop.schedule(
                 () -> read(loop, store, READ_PERIOD_MILLIS), nextReadMillis, TimeUnit.MILLISECONDS);
     }
@@ -127,13 +127,13 @@
      */
     void onStoreRestored(final EventLoop loop, final Store store, final RandomGenerator random) {
         loop.schedule(
-                () -> store.listStale(StoreKind.VMS, answer -> onList(store, answer)),
+                () -> store.listStale(StoreKind.VMS, result -> onList(store, result)),
                 RESTORED_READ_DELAY_MILLIS + random.nextLong(RESTORED_READ_SPREAD_MILLIS),
                 TimeUnit.MILLISECONDS);
     }
 
-    private void onList(final Store store, final StoreResult<Page<VmEntry>> answer) {
-        if (answer instanceof StoreResult.Done<Page<VmEntry>> done) {
+    private void onList(final Store store, final StoreResult<Page<VmEntry>> result) {
+        if (result instanceof StoreResult.Done<Page<VmEntry>> done) {
             final List<StoredValue<VmEntry>> values = done.value().values();
             onEntries(values);
             if (!contains(values, own)) {
@@ -279,8 +279,8 @@
         return relaysByAddress.computeIfAbsent(entry.address(), relayAt);
     }
 
-    private static void onEntryWritten(final StoreResult<Void> answer) {
-        if (answer instanceof StoreResult.Unavailable<Void> unavailable) {
+    private static void onEntryWritten(final StoreResult<Void> result) {
+        if (result instanceof StoreResult.Unavailable<Void> unavailable) {
             EventLog.write(
                     Event.WRITE_FAILED, "object", "own entry", "detail", unavailable.detail());
         }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/QuarantineFeed.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/QuarantineFeed.java
@@ -141,14 +141,14 @@
     private void write(final Fingerprint content) {
         if (!stored.contains(content) && mayWrite(content)) {
             store.writeQuarantine(
-                    content, answer -> onWritten(content, answer, () -> stored.add(content)));
+                    content, result -> onWritten(content, result, () -> stored.add(content)));
         }
     }
 
     private void delete(final Fingerprint content) {
         if (mayWrite(content)) {
             store.deleteQuarantine(
-                    content, answer -> onWritten(content, answer, () -> stored.remove(content)));
+                    content, result -> onWritten(content, result, () -> stored.remove(content)));
         }
     }
 
@@ -158,10 +158,10 @@
 
     /** Handles the result; a conflict means that another VM wrote first. */
     private void onWritten(
-            final Fingerprint content, final StoreResult<Void> answer, final Runnable done) {
+            final Fingerprint content, final StoreResult<Void> result, final Runnable done) {
         writing.remove(content);
         stagger.clear(content);
-        if (answer instanceof StoreResult.Unavailable<Void> unavailable) {
+        if (result instanceof StoreResult.Unavailable<Void> unavailable) {
             retryAtMillis = clock.millis() + RETRY_MILLIS;
             EventLog.write(
                     Event.WRITE_FAILED,
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/Readiness.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/Readiness.java
@@ -21,7 +21,7 @@
     private static final int NOT_FOUND = 404;
 
     private final VmSettings settings;
-    private final GatewayState beliefs;
+    private final GatewayState state;
     private boolean serversListed;
     private boolean rolloutsListed;
     private boolean quarantineListed;
@@ -29,9 +29,9 @@
     private boolean ready;
     private boolean stopping;
 
-    Readiness(final VmSettings settings, final GatewayState beliefs) {
+    Readiness(final VmSettings settings, final GatewayState state) {
         this.settings = Objects.requireNonNull(settings, "settings is null");
-        this.beliefs = Objects.requireNonNull(beliefs, "beliefs is null");
+        this.state = Objects.requireNonNull(state, "state is null");
         this.evacuationsListed = !settings.evacuations();
     }
 
@@ -71,7 +71,7 @@
                         && rolloutsListed
                         && quarantineListed
                         && evacuationsListed
-                        && beliefs.configuration().isPresent();
+                        && state.configuration().isPresent();
         if (knowsAll && !ready && !stopping) {
             ready = true;
             EventLog.write(
@@ -79,9 +79,9 @@
                     "vm",
                     settings.vm(),
                     "configuration",
-                    beliefs.configuration().get().version(),
+                    state.configuration().get().version(),
                     "servers",
-                    beliefs.servers().size());
+                    state.servers().size());
         }
     }
 
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/RolloutAges.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/RolloutAges.java
@@ -39,31 +39,31 @@
     /** Smallest correction that is logged; milliseconds. Less is within the delay of messages. */
     private static final long MIN_LOGGED_CHANGE_MILLIS = 50;
 
-    private final GatewayState beliefs;
+    private final GatewayState state;
     private final Supplier<List<InetSocketAddress>> peers;
     private final BiConsumer<PeerMessage, List<InetSocketAddress>> send;
     private final RandomGenerator random;
     private long dueMillis;
 
     RolloutAges(
-            final GatewayState beliefs,
+            final GatewayState state,
             final Supplier<List<InetSocketAddress>> peers,
             final BiConsumer<PeerMessage, List<InetSocketAddress>> send,
             final RandomGenerator random) {
-        this.beliefs = Objects.requireNonNull(beliefs, "beliefs is null");
+        this.state = Objects.requireNonNull(state, "state is null");
         this.peers = Objects.requireNonNull(peers, "peers is null");
         this.send = Objects.requireNonNull(send, "send is null");
         this.random = Objects.requireNonNull(random, "random is null");
-        this.dueMillis = beliefs.clock().millis() + PERIOD_MILLIS;
+        this.dueMillis = state.clock().millis() + PERIOD_MILLIS;
     }
 
     /** Sends the age of each running rollout if it is due. Called a few times a second. */
     void sendDue() {
-        if (beliefs.clock().millis() < dueMillis) {
+        if (state.clock().millis() < dueMillis) {
             return;
         }
-        dueMillis = beliefs.clock().millis() + nextDelayMillis();
-        for (final Canary canary : beliefs.canaries().values()) {
+        dueMillis = state.clock().millis() + nextDelayMillis();
+        for (final Canary canary : state.canaries().values()) {
             canary.age().ifPresent(age -> send.accept(new PeerMessage.Rollout(age), peers.get()));
         }
     }
@@ -83,7 +83,7 @@
 
     /** Applies the age that another VM sent. */
     void onAge(final RolloutAge age) {
-        final Optional<Canary> canary = Optional.ofNullable(beliefs.canaries().get(age.service()));
+        final Optional<Canary> canary = Optional.ofNullable(state.canaries().get(age.service()));
         final Duration change = canary.map(c -> c.onAge(age)).orElse(Duration.ZERO);
         if (Math.abs(change.toMillis()) >= MIN_LOGGED_CHANGE_MILLIS) {
             EventLog.write(
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/RolloutFeed.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/RolloutFeed.java
@@ -41,7 +41,7 @@
     /** A phase that is to be written. */
     private record PendingPhase(String target, RolloutPhase phase) {}
 
-    private final GatewayState beliefs;
+    private final GatewayState state;
     private final Store store;
     private final TaskStagger<ServiceName> stagger;
     private final InstantSource wallClock;
@@ -50,15 +50,15 @@
     private final Map<ServiceName, PendingPhase> pending = new HashMap<>();
 
     RolloutFeed(
-            final GatewayState beliefs,
+            final GatewayState state,
             final Store store,
             final InstantSource wallClock,
             final ToIntFunction<String> rankFor,
             final Runnable afterList) {
-        this.beliefs = Objects.requireNonNull(beliefs, "beliefs is null");
+        this.state = Objects.requireNonNull(state, "state is null");
         this.store = Objects.requireNonNull(store, "store is null");
         this.wallClock = Objects.requireNonNull(wallClock, "wallClock is null");
-        this.stagger = new TaskStagger<>(rankFor, MAX_RANK, beliefs.clock());
+        this.stagger = new TaskStagger<>(rankFor, MAX_RANK, state.clock());
         this.afterList = Objects.requireNonNull(afterList, "afterList is null");
     }
 
@@ -75,12 +75,12 @@
 
     @Override
     public void onPosition(final Position position) {
-        beliefs.onOrdersReadUpTo(position);
+        state.onOrdersReadUpTo(position);
     }
 
     private void onOrder(final RolloutOrder order) {
         final Duration elapsed = elapsed(order);
-        if (!beliefs.canary(order.service()).onOrder(order, elapsed)) {
+        if (!state.canary(order.service()).onOrder(order, elapsed)) {
             return;
         }
         EventLog.write(
@@ -116,7 +116,7 @@
 
     /** Writes the phases that are due. Called a few times a second. */
     void writeDue() {
-        beliefs.canaries().forEach(this::writeDue);
+        state.canaries().forEach(this::writeDue);
     }
 
     private void writeDue(final ServiceName service, final Canary canary) {
@@ -150,7 +150,7 @@
     private void write(final ServiceName service, final Canary canary, final RolloutPhase phase) {
         final RolloutOrder order = canary.order().orElseThrow();
         final Instant begunAt = wallClock.instant().minus(canary.elapsed());
-        store.writePhase(order, phase, begunAt, answer -> onWritten(service, phase, answer));
+        store.writePhase(order, phase, begunAt, result -> onWritten(service, phase, result));
         EventLog.write(
                 Event.ROLLOUT_STATE_WRITTEN,
                 "service",
@@ -168,9 +168,9 @@
     }
 
     private void onWritten(
-            final ServiceName service, final RolloutPhase phase, final StoreResult<Void> answer) {
+            final ServiceName service, final RolloutPhase phase, final StoreResult<Void> result) {
         writing.remove(service);
-        if (answer instanceof StoreResult.Unavailable<Void> unavailable) {
+        if (result instanceof StoreResult.Unavailable<Void> unavailable) {
             EventLog.write(
                     Event.WRITE_FAILED,
                     "service",
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/ServerFeed.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/ServerFeed.java
@@ -19,13 +19,13 @@
  */
 final class ServerFeed implements Follower.Listener<ServerEntry> {
 
-    private final GatewayState beliefs;
+    private final GatewayState state;
     private final ServerTable servers;
     private final Runnable afterList;
 
-    ServerFeed(final GatewayState beliefs, final Runnable afterList) {
-        this.beliefs = Objects.requireNonNull(beliefs, "beliefs is null");
-        this.servers = beliefs.servers();
+    ServerFeed(final GatewayState state, final Runnable afterList) {
+        this.state = Objects.requireNonNull(state, "state is null");
+        this.servers = state.servers();
         this.afterList = Objects.requireNonNull(afterList, "afterList is null");
     }
 
@@ -33,7 +33,7 @@
     public void onAll(final List<StoredValue<ServerEntry>> values) {
         final List<ServerEntry> entries =
                 values.stream().map(StoredValue::value).flatMap(Optional::stream).toList();
-        beliefs.onAllServers(entries);
+        state.onAllServers(entries);
         EventLog.write(
                 Event.SERVER_ENTRY_CHANGED, "listed", values.size(), "in_table", servers.size());
         afterList.run();
@@ -43,7 +43,7 @@
     public void onChange(final StoredValue<ServerEntry> change) {
         if (change.value().isPresent()) {
             final ServerEntry entry = change.value().get();
-            final boolean taken = beliefs.onServer(entry);
+            final boolean taken = state.onServer(entry);
             EventLog.write(
                     Event.SERVER_ENTRY_CHANGED,
                     "server",
@@ -104,7 +104,7 @@
 
     @Override
     public void onStoreRestored() {
-        beliefs.onStoreRestored();
+        state.onStoreRestored();
     }
 
     /** Removes entries that expired while the store was unavailable and were not renewed. */
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/VmMetrics.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/VmMetrics.java
@@ -25,7 +25,7 @@
 
     VmMetrics(
             final GatewayMetrics metrics,
-            final GatewayState beliefs,
+            final GatewayState state,
             final Gateway gateway,
             final EraTracker eras,
             final HttpClient serverClient) {
@@ -45,11 +45,11 @@
         metrics.gauge(
                 "fennelstage_gateway_evacuations",
                 "Data centres whose workers get nothing new",
-                () -> beliefs.evacuations().size());
+                () -> state.evacuations().size());
         metrics.gauge(
                 "fennelstage_gateway_evacuations_age_seconds",
                 "Time since the store was last heard of evacuations",
-                () -> beliefs.evacuations().ageMillis() / MILLIS_PER_SECOND);
+                () -> state.evacuations().ageMillis() / MILLIS_PER_SECOND);
         metrics.gauge(
                 "fennelstage_gateway_store_returns",
                 "How often the store was seen to come back from an older copy",
--- a/fennelstage-gateway/src/test/java/org/fennelstage/store/CoalescedStoreTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/store/CoalescedStoreTest.java
@@ -39,10 +39,10 @@
     void listsAndWatchesGoThroughTheFirstRelay() {
         list();
         watch();
-        firstRelay.answer(PAGE);
-        firstRelay.answer(PAGE);
+        firstRelay.complete(PAGE);
+        firstRelay.complete(PAGE);
         assertThat(results).containsExactly(PAGE, PAGE);
-        assertThat(direct.waiting()).isEmpty();
+        assertThat(direct.pending()).isEmpty();
     }
 
     @Test
@@ -50,8 +50,8 @@
         relays.clear();
         list();
         watch();
-        direct.answer(PAGE);
-        direct.answer(PAGE);
+        direct.complete(PAGE);
+        direct.complete(PAGE);
         assertThat(results).containsExactly(PAGE, PAGE);
     }
 
@@ -60,12 +60,12 @@
     void oneFailedCallFailsAllWatchesAtThatRelayAndTheNextRelayIsCalled() {
         watch();
         watch();
-        firstRelay.answer(UNAVAILABLE);
+        firstRelay.complete(UNAVAILABLE);
         assertThat(results).hasSize(2).allMatch(r -> r instanceof StoreResult.Unavailable);
         list();
-        secondRelay.answer(PAGE);
+        secondRelay.complete(PAGE);
         assertThat(results).hasSize(3).last().isEqualTo(PAGE);
-        assertThat(direct.waiting()).isEmpty();
+        assertThat(direct.pending()).isEmpty();
     }
 
     /** Guards against a second timeout, at the next relay, that exceeds the propagation delay. */
@@ -74,15 +74,15 @@
         store.watch(
                 StoreKind.CONFIGURATION, Position.of(0, 7), Duration.ofSeconds(10), result -> {});
         now.addAndGet(2_500);
-        firstRelay.answer(UNAVAILABLE);
+        firstRelay.complete(UNAVAILABLE);
         list();
-        direct.answer(PAGE);
+        direct.complete(PAGE);
         assertThat(results).containsExactly(PAGE);
         watch();
-        assertThat(secondRelay.waiting()).hasSize(1);
+        assertThat(secondRelay.pending()).hasSize(1);
         now.addAndGet(CoalescedStore.DIRECT_MILLIS);
         list();
-        assertThat(secondRelay.waiting()).hasSize(2);
+        assertThat(secondRelay.pending()).hasSize(2);
     }
 
     /** Guards against all VMs switching relays when a configuration is too large to share. */
@@ -91,29 +91,29 @@
         final StoreResult<Page<VmEntry>> tooLarge = new StoreResult.TooLarge<>();
         watch();
         watch();
-        firstRelay.answer(tooLarge);
+        firstRelay.complete(tooLarge);
         assertThat(results).containsExactly(tooLarge);
-        assertThat(firstRelay.waiting()).hasSize(1);
+        assertThat(firstRelay.pending()).hasSize(1);
         list();
-        direct.answer(PAGE);
+        direct.complete(PAGE);
         watch();
         now.addAndGet(CoalescedStore.DIRECT_MILLIS);
         list();
-        assertThat(firstRelay.waiting()).hasSize(3);
-        firstRelay.answer(PAGE);
-        firstRelay.answer(PAGE);
-        firstRelay.answer(tooLarge);
-        direct.answer(PAGE);
+        assertThat(firstRelay.pending()).hasSize(3);
+        firstRelay.complete(PAGE);
+        firstRelay.complete(PAGE);
+        firstRelay.complete(tooLarge);
+        direct.complete(PAGE);
         assertThat(results).containsExactly(tooLarge, PAGE, PAGE, PAGE, PAGE);
-        assertThat(secondRelay.waiting()).isEmpty();
+        assertThat(secondRelay.pending()).isEmpty();
     }
 
     @Test
     void listThatFailsAtARelayIsRepeatedAtTheStore() {
         list();
-        firstRelay.answer(UNAVAILABLE);
+        firstRelay.complete(UNAVAILABLE);
         assertThat(results).isEmpty();
-        direct.answer(PAGE);
+        direct.complete(PAGE);
         assertThat(results).containsExactly(PAGE);
     }
 
@@ -121,25 +121,25 @@
     @Test
     void watchThatFailsAtARelayIsNotRepeated() {
         watch();
-        firstRelay.answer(UNAVAILABLE);
-        assertThat(direct.waiting()).isEmpty();
-        assertThat(secondRelay.waiting()).isEmpty();
+        firstRelay.complete(UNAVAILABLE);
+        assertThat(direct.pending()).isEmpty();
+        assertThat(secondRelay.pending()).isEmpty();
         assertThat(results).containsExactly(UNAVAILABLE);
     }
 
     @Test
     void failedRelayIsCalledAgainAfterAnIncreasingPause() {
         list();
-        firstRelay.answer(UNAVAILABLE);
+        firstRelay.complete(UNAVAILABLE);
         now.addAndGet(CoalescedStore.PAUSE_MILLIS);
         list();
-        firstRelay.answer(UNAVAILABLE);
+        firstRelay.complete(UNAVAILABLE);
         now.addAndGet(CoalescedStore.PAUSE_MILLIS);
         list();
-        assertThat(secondRelay.waiting()).hasSize(1);
+        assertThat(secondRelay.pending()).hasSize(1);
         now.addAndGet(CoalescedStore.PAUSE_MILLIS);
         list();
-        assertThat(firstRelay.waiting()).hasSize(1);
+        assertThat(firstRelay.pending()).hasSize(1);
     }
 
     /** The rest of the propagation delay is needed to detect a failed relay and to list again. */
@@ -185,8 +185,8 @@
     void everyWatchGetsOneResult() {
         watch();
         watch();
-        firstRelay.answer(UNAVAILABLE);
-        firstRelay.answer(PAGE);
+        firstRelay.complete(UNAVAILABLE);
+        firstRelay.complete(PAGE);
         assertThat(results).hasSize(2);
     }
 }
--- a/fennelstage-gateway/src/test/java/org/fennelstage/store/FallbackStoreTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/store/FallbackStoreTest.java
@@ -31,22 +31,22 @@
     @Test
     void noRelayIsCalledWhileTheStoreIsAvailable() {
         list();
-        store.answer(PAGE);
+        store.complete(PAGE);
         assertThat(results).containsExactly(PAGE);
-        assertThat(firstRelay.waiting()).isEmpty();
+        assertThat(firstRelay.pending()).isEmpty();
     }
 
     /** Guards against outdated keys on a VM to which alone the store is unavailable. */
     @Test
     void callsGoThroughRelaysWhenTheStoreIsUnavailableToThisVm() {
         list();
-        store.answer(UNAVAILABLE);
-        firstRelay.answer(UNAVAILABLE);
-        secondRelay.answer(PAGE);
+        store.complete(UNAVAILABLE);
+        firstRelay.complete(UNAVAILABLE);
+        secondRelay.complete(PAGE);
         assertThat(results).containsExactly(PAGE);
         list();
-        assertThat(store.waiting()).isEmpty();
-        firstRelay.answer(PAGE);
+        assertThat(store.pending()).isEmpty();
+        firstRelay.complete(PAGE);
         assertThat(results).hasSize(2);
     }
 
@@ -55,14 +55,14 @@
     void oneFailedCallFailsAllPendingCallsAndLaterCallsGoThroughARelay() {
         list();
         list();
-        store.answer(UNAVAILABLE);
+        store.complete(UNAVAILABLE);
         assertThat(results).hasSize(1);
         assertThat(results.get(0)).isInstanceOf(StoreResult.Unavailable.class);
-        firstRelay.answer(PAGE);
-        store.answer(PAGE);
+        firstRelay.complete(PAGE);
+        store.complete(PAGE);
         assertThat(results).hasSize(2);
         list();
-        assertThat(firstRelay.waiting()).hasSize(1);
+        assertThat(firstRelay.pending()).hasSize(1);
         assertThat(fallback.mayRelay()).isFalse();
     }
 
@@ -70,7 +70,7 @@
     @Test
     void relaysOneProbeCallAfterAPauseAndAllCallsAfterAResponse() {
         list();
-        store.answer(UNAVAILABLE);
+        store.complete(UNAVAILABLE);
         assertThat(fallback.mayRelay()).isFalse();
         now.addAndGet(1_500);
         assertThat(fallback.mayRelay()).isTrue();
@@ -82,21 +82,21 @@
     @Test
     void storeIsCalledAgainAfterAPause() {
         list();
-        store.answer(UNAVAILABLE);
-        firstRelay.answer(PAGE);
+        store.complete(UNAVAILABLE);
+        firstRelay.complete(PAGE);
         now.addAndGet(1_500);
         list();
-        store.answer(PAGE);
+        store.complete(PAGE);
         list();
-        assertThat(store.waiting()).hasSize(1);
+        assertThat(store.pending()).hasSize(1);
     }
 
     @Test
     void callFailsWhenTheStoreAndAllRelaysFail() {
         list();
-        store.answer(UNAVAILABLE);
-        firstRelay.answer(UNAVAILABLE);
-        secondRelay.answer(UNAVAILABLE);
+        store.complete(UNAVAILABLE);
+        firstRelay.complete(UNAVAILABLE);
+        secondRelay.complete(UNAVAILABLE);
         assertThat(results).containsExactly(UNAVAILABLE);
     }
 
@@ -104,9 +104,9 @@
     @Test
     void nextRelayIsCalledWhenAResultIsTooLargeForOne() {
         list();
-        store.answer(UNAVAILABLE);
-        firstRelay.answer(new StoreResult.TooLarge<Page<VmEntry>>());
-        secondRelay.answer(PAGE);
+        store.complete(UNAVAILABLE);
+        firstRelay.complete(new StoreResult.TooLarge<Page<VmEntry>>());
+        secondRelay.complete(PAGE);
         assertThat(results).containsExactly(PAGE);
     }
 }
--- a/fennelstage-gateway/src/test/java/org/fennelstage/store/FollowerTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/store/FollowerTest.java
@@ -100,9 +100,9 @@
     @Test
     void listOfSeveralPagesIsDeliveredOnceAndWatchedFromItsRevision() throws InterruptedException {
         follower.start();
-        answer("list -", page(Optional.of("b"), 5, entry("a", 1), entry("b", 2)));
-        answer("list b", page(Optional.empty(), 6, entry("c", 3)));
-        answer("watch 6", page(Optional.empty(), 9, deleted("a", 8)));
+        complete("list -", page(Optional.of("b"), 5, entry("a", 1), entry("b", 2)));
+        complete("list b", page(Optional.empty(), 6, entry("c", 3)));
+        complete("watch 6", page(Optional.empty(), 9, deleted("a", 8)));
         expect("watch 9");
         assertThat(received).containsExactly("all [a, b, c]", "deleted a");
     }
@@ -111,9 +111,9 @@
     @Test
     void objectsAreListedAgainAfterAFailure() throws InterruptedException {
         follower.start();
-        answer("list -", page(Optional.empty(), 5));
-        answer("watch 5", new StoreResult.Unavailable<>(false, "reset"));
-        answer("list -", page(Optional.empty(), 7, entry("a", 7)));
+        complete("list -", page(Optional.empty(), 5));
+        complete("watch 5", new StoreResult.Unavailable<>(false, "reset"));
+        complete("list -", page(Optional.empty(), 7, entry("a", 7)));
         expect("watch 7");
         assertThat(received).containsExactly("all []", "call failed", "available", "all [a]");
     }
@@ -121,13 +121,13 @@
     @Test
     void onlyAFailedListReportsTheStoreUnavailableAndOnlyOnce() throws InterruptedException {
         follower.start();
-        answer("list -", page(Optional.empty(), 5));
-        answer("watch 5", new StoreResult.Unavailable<>(false, "relay failed"));
-        answer("list -", new StoreResult.Unavailable<>(false, "503"));
-        answer("list -", new StoreResult.Unavailable<>(false, "503"));
-        answer("list -", page(Optional.empty(), 7, entry("a", 7)));
-        answer("watch 7", new StoreResult.Unavailable<>(false, "503"));
-        answer("list -", new StoreResult.Unavailable<>(false, "503"));
+        complete("list -", page(Optional.empty(), 5));
+        complete("watch 5", new StoreResult.Unavailable<>(false, "relay failed"));
+        complete("list -", new StoreResult.Unavailable<>(false, "503"));
+        complete("list -", new StoreResult.Unavailable<>(false, "503"));
+        complete("list -", page(Optional.empty(), 7, entry("a", 7)));
+        complete("watch 7", new StoreResult.Unavailable<>(false, "503"));
+        complete("list -", new StoreResult.Unavailable<>(false, "503"));
         expect("list -");
         assertThat(received)
                 .containsExactly(
@@ -144,9 +144,9 @@
     @Test
     void watchResultThatIsTooLargeIsListedAtOnceAndIsNoFailure() throws InterruptedException {
         follower.start();
-        answer("list -", page(Optional.empty(), 5));
-        answer("watch 5", new StoreResult.TooLarge<>());
-        answer("list -", page(Optional.empty(), 9, entry("a", 9)));
+        complete("list -", page(Optional.empty(), 5));
+        complete("watch 5", new StoreResult.TooLarge<>());
+        complete("list -", page(Optional.empty(), 9, entry("a", 9)));
         expect("watch 9");
         assertThat(received).containsExactly("all []", "all [a]");
     }
@@ -154,8 +154,8 @@
     @Test
     void objectsAreListedAtOnceWhenTheHistoryIsGone() throws InterruptedException {
         follower.start();
-        answer("list -", page(Optional.empty(), 5));
-        answer("watch 5", new StoreResult.HistoryGone<>());
+        complete("list -", page(Optional.empty(), 5));
+        complete("watch 5", new StoreResult.HistoryGone<>());
         expect("list -");
         assertThat(received).containsExactly("all []");
     }
@@ -164,8 +164,8 @@
     @Test
     void resultOlderThanTheKnownPositionIsNotDelivered() throws InterruptedException {
         follower.start();
-        answer("list -", page(Optional.empty(), 5));
-        answer("watch 5", page(Optional.empty(), 4, entry("a", 3)));
+        complete("list -", page(Optional.empty(), 5));
+        complete("watch 5", page(Optional.empty(), 4, entry("a", 3)));
         expect("list -");
         assertThat(received).containsExactly("all []");
     }
@@ -176,12 +176,12 @@
         final StoredValue<VmEntry> malformed =
                 new StoredValue<>(
                         "x", Position.of(0, 4), Optional.empty(), Optional.of("no address"));
-        answer("list -", page(Optional.empty(), 5, malformed, entry("a", 3)));
+        complete("list -", page(Optional.empty(), 5, malformed, entry("a", 3)));
         expect("watch 5");
         assertThat(received).containsExactly("all [a]");
     }
 
-    private void answer(final String call, final StoreResult<Page<VmEntry>> result)
+    private void complete(final String call, final StoreResult<Page<VmEntry>> result)
             throws InterruptedException {
         final Pending pending = expect(call);
         loop.submit(() -> pending.callback().accept(result)).sync();
@@ -220,9 +220,9 @@
     @Test
     void watchResultOfANewerEraIsDiscardedAndObjectsAreListedAgain() throws InterruptedException {
         follower.start();
-        answer("list -", page(Optional.empty(), 5));
-        answer("watch 5", laterPage(7, entry("a", 7)));
-        answer("list -", laterPage(7, entry("a", 7), entry("b", 4)));
+        complete("list -", page(Optional.empty(), 5));
+        complete("watch 5", laterPage(7, entry("a", 7)));
+        complete("list -", laterPage(7, entry("a", 7), entry("b", 4)));
         expect("watch 7");
         assertThat(received).containsExactly("all []", "restored", "all [a, b]");
     }
@@ -231,10 +231,10 @@
     @Test
     void newEraFromAnotherCallEndsThePendingWatch() throws InterruptedException {
         follower.start();
-        answer("list -", page(Optional.empty(), 5));
+        complete("list -", page(Optional.empty(), 5));
         final Pending watch = expect("watch 5");
         loop.submit(() -> eras.offer(Position.of(1, 3), StoreKind.SERVERS)).sync();
-        answer("list -", laterPage(4));
+        complete("list -", laterPage(4));
         loop.submit(() -> watch.callback().accept(page(Optional.empty(), 9, entry("x", 9)))).sync();
         expect("watch 4");
         assertThat(received).containsExactly("all []", "restored", "all []");
@@ -244,10 +244,10 @@
     @Test
     void listIsRepeatedAfterAResultOfAFormerEra() throws InterruptedException {
         follower.start();
-        answer("list -", laterPage(5));
-        answer("watch 5", page(Optional.empty(), 9, entry("a", 9)));
-        answer("list -", page(Optional.empty(), 9, entry("a", 9)));
-        answer("list -", laterPage(6, entry("b", 6)));
+        complete("list -", laterPage(5));
+        complete("watch 5", page(Optional.empty(), 9, entry("a", 9)));
+        complete("list -", page(Optional.empty(), 9, entry("a", 9)));
+        complete("list -", laterPage(6, entry("b", 6)));
         expect("watch 6");
         assertThat(received).containsExactly("all []", "call failed", "available", "all [b]");
     }
@@ -255,9 +255,9 @@
     @Test
     void listOfSeveralPagesIsRestartedWhenTheEraChangesBetweenPages() throws InterruptedException {
         follower.start();
-        answer("list -", page(Optional.of("b"), 5, entry("a", 1), entry("b", 2)));
-        answer("list b", laterPage(4, entry("c", 3)));
-        answer("list -", laterPage(4, entry("c", 3)));
+        complete("list -", page(Optional.of("b"), 5, entry("a", 1), entry("b", 2)));
+        complete("list b", laterPage(4, entry("c", 3)));
+        complete("list -", laterPage(4, entry("c", 3)));
         expect("watch 4");
         assertThat(received).containsExactly("restored", "all [c]");
     }
--- a/fennelstage-gateway/src/test/java/org/fennelstage/store/ManualStore.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/store/ManualStore.java
@@ -13,7 +13,7 @@
 
 /** A store whose pending calls a test completes. Not thread-safe; confined to the test's thread. */
 public class ManualStore implements Store {
-    private final List<Consumer<StoreResult<?>>> waiting = new ArrayList<>();
+    private final List<Consumer<StoreResult<?>>> pending = new ArrayList<>();
 
     @Override
     public <T> void list(
@@ -66,16 +66,16 @@
 
     @SuppressWarnings({"unchecked", "rawtypes"})
     private void addPending(final Consumer callback) {
-        waiting.add((Consumer<StoreResult<?>>) callback);
+        pending.add((Consumer<StoreResult<?>>) callback);
     }
 
     /** Returns the callbacks of pending calls, the oldest first. */
-    public List<Consumer<StoreResult<?>>> waiting() {
-        return waiting;
+    public List<Consumer<StoreResult<?>>> pending() {
+        return pending;
     }
 
     /** Completes the oldest pending call. */
-    public void answer(final StoreResult<?> result) {
-        waiting.remove(0).accept(result);
+    public void complete(final StoreResult<?> result) {
+        pending.remove(0).accept(result);
     }
 }
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/LoadCollectionTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/LoadCollectionTest.java
@@ -104,7 +104,7 @@
         for (final Vm vm : vms.values()) {
             final ManualStore store = new ManualStore();
             vm.peers.start(loop, store);
-            store.answer(list);
+            store.complete(list);
         }
     }
 
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/PeersTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/PeersTest.java
@@ -46,10 +46,10 @@
         final ManualStore store = new ManualStore();
         peers.start(loop, store);
         final StoreResult<Page<VmEntry>> list = list(all);
-        store.answer(list);
+        store.complete(list);
         assertThat(peers.coalescingRelays()).as("just started").isEmpty();
         peers.start(loop, store);
-        store.answer(list);
+        store.complete(list);
         return peers;
     }
 
@@ -112,8 +112,8 @@
         final List<Store> before = peers.coalescingRelays();
         final ManualStore store = new ManualStore();
         peers.start(loop, store);
-        store.answer(list(all.subList(1, 3)));
+        store.complete(list(all.subList(1, 3)));
         assertThat(peers.coalescingRelays()).isEqualTo(before);
-        assertThat(store.waiting()).as("own entry").hasSize(1);
+        assertThat(store.pending()).as("own entry").hasSize(1);
     }
 }
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/QuarantineFeedTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/QuarantineFeedTest.java
@@ -48,10 +48,10 @@
         crashes.quarantine(CONTENT, "test");
         feed.writeDue();
         feed.writeDue();
-        assertThat(store.waiting()).hasSize(1);
-        store.answer(new StoreResult.Done<>(null));
+        assertThat(store.pending()).hasSize(1);
+        store.complete(new StoreResult.Done<>(null));
         feed.writeDue();
-        assertThat(store.waiting()).isEmpty();
+        assertThat(store.pending()).isEmpty();
     }
 
     @Test
@@ -62,19 +62,19 @@
         feed.onChange(stored(Optional.of(CONTENT)));
         now.addAndGet(10_000);
         feed.writeDue();
-        assertThat(store.waiting()).isEmpty();
+        assertThat(store.pending()).isEmpty();
     }
 
     @Test
     void failedWriteIsRetriedAfterPause() {
         crashes.quarantine(CONTENT, "test");
         feed.writeDue();
-        store.answer(new StoreResult.Unavailable<>(true, "no answer"));
+        store.complete(new StoreResult.Unavailable<>(true, "no answer"));
         feed.writeDue();
-        assertThat(store.waiting()).isEmpty();
+        assertThat(store.pending()).isEmpty();
         now.addAndGet(1_000);
         feed.writeDue();
-        assertThat(store.waiting()).hasSize(1);
+        assertThat(store.pending()).hasSize(1);
     }
 
     @Test
@@ -83,7 +83,7 @@
         assertThat(crashes.quarantine().remaining(CONTENT)).isPresent();
         feed.onAll(List.of());
         feed.writeDue();
-        assertThat(store.waiting()).hasSize(1);
+        assertThat(store.pending()).hasSize(1);
     }
 
     @Test
@@ -91,13 +91,13 @@
         feed.onAll(List.of(stored(Optional.of(CONTENT))));
         now.addAndGet(Quarantine.LIFETIME.toMillis() + 1);
         feed.writeDue();
-        assertThat(store.waiting()).hasSize(1);
+        assertThat(store.pending()).hasSize(1);
         feed.onAll(List.of(stored(Optional.of(CONTENT))));
         assertThat(crashes.quarantine().remaining(CONTENT)).isEmpty();
-        store.answer(new StoreResult.Done<>(null));
+        store.complete(new StoreResult.Done<>(null));
         feed.onChange(stored(Optional.empty()));
         feed.writeDue();
-        assertThat(store.waiting()).isEmpty();
+        assertThat(store.pending()).isEmpty();
     }
 
     @Test
@@ -106,7 +106,7 @@
         feed.onChange(stored(Optional.empty()));
         assertThat(crashes.quarantine().remaining(CONTENT)).isEmpty();
         feed.writeDue();
-        assertThat(store.waiting()).isEmpty();
+        assertThat(store.pending()).isEmpty();
     }
 
     @Test
@@ -125,7 +125,7 @@
         crashes.onClearedCrashes(new ClearedCrashes(CONTENT, Set.of(server)));
         assertThat(crashes.quarantine().remaining(CONTENT)).isEmpty();
         feed.writeDue();
-        assertThat(store.waiting()).hasSize(1);
+        assertThat(store.pending()).hasSize(1);
         feed.onChange(stored(Optional.of(CONTENT)));
         assertThat(crashes.quarantine().remaining(CONTENT)).isEmpty();
     }
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/RolloutAgesTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/RolloutAgesTest.java
@@ -28,10 +28,10 @@
     private List<InetSocketAddress> peers = List.of();
 
     private final class Vm {
-        private final GatewayState beliefs = new GatewayState(now::get, TestBounds.BOUNDS);
+        private final GatewayState state = new GatewayState(now::get, TestBounds.BOUNDS);
         private final RolloutAges ages =
                 new RolloutAges(
-                        beliefs, () -> peers, (message, to) -> sent.add(message), new Random(7));
+                        state, () -> peers, (message, to) -> sent.add(message), new Random(7));
 
         private Vm withOrder(final Optional<Instant> begunAt, final long elapsedMillis) {
             final RolloutOrder order =
@@ -42,7 +42,7 @@
                             begunAt.isPresent() ? RolloutPhase.IN_PROGRESS : RolloutPhase.ORDERED,
                             begunAt,
                             Position.of(0, 5));
-            beliefs.canary(MODELS).onOrder(order, Duration.ofMillis(elapsedMillis));
+            state.canary(MODELS).onOrder(order, Duration.ofMillis(elapsedMillis));
             return this;
         }
     }
@@ -59,7 +59,7 @@
         assertThat(sent).hasSize(1);
         final Vm started = new Vm().withOrder(Optional.of(Instant.EPOCH), 9_000);
         started.ages.onAge(((PeerMessage.Rollout) sent.get(0)).age());
-        assertThat(started.beliefs.canary(MODELS).elapsed()).hasMillis(4_000);
+        assertThat(started.state.canary(MODELS).elapsed()).hasMillis(4_000);
     }
 
     @Test
@@ -74,7 +74,7 @@
     void ageForUnknownServiceIsIgnored() {
         final Vm vm = new Vm();
         vm.ages.onAge(new RolloutAge(MODELS, "v2", Position.of(0, 5), 100));
-        assertThat(vm.beliefs.canaries()).isEmpty();
+        assertThat(vm.state.canaries()).isEmpty();
     }
 
     /** Guards against messages that grow with the square of the fleet. */
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/RolloutFeedTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/RolloutFeedTest.java
@@ -24,12 +24,12 @@
     private static final ServiceName MODELS = ServiceName.of("models");
 
     private final AtomicLong now = new AtomicLong(1_000_000);
-    private final GatewayState beliefs = new GatewayState(now::get, TestBounds.BOUNDS);
+    private final GatewayState state = new GatewayState(now::get, TestBounds.BOUNDS);
     private final ManualStore store = new ManualStore();
 
     private RolloutFeed feedWithRank(final int rank) {
         return new RolloutFeed(
-                beliefs, store, InstantSource.fixed(Instant.EPOCH), target -> rank, () -> {});
+                state, store, InstantSource.fixed(Instant.EPOCH), target -> rank, () -> {});
     }
 
     private static List<StoredValue<RolloutOrder>> order(
@@ -55,16 +55,16 @@
         feed.writeDue();
         now.addAndGet(199);
         feed.writeDue();
-        assertThat(store.waiting()).isEmpty();
+        assertThat(store.pending()).isEmpty();
         now.addAndGet(1);
         feed.writeDue();
-        assertThat(store.waiting()).hasSize(1);
-        store.answer(new StoreResult.Done<>(null));
+        assertThat(store.pending()).hasSize(1);
+        store.complete(new StoreResult.Done<>(null));
 
         feed.onAll(order(RolloutPhase.IN_PROGRESS, 6));
         now.addAndGet(1_000);
         feed.writeDue();
-        assertThat(store.waiting()).isEmpty();
+        assertThat(store.pending()).isEmpty();
     }
 
     @Test
@@ -72,12 +72,12 @@
         final RolloutFeed first = feedWithRank(0);
         first.onAll(order(RolloutPhase.ORDERED, 5));
         first.writeDue();
-        assertThat(store.waiting()).hasSize(1);
+        assertThat(store.pending()).hasSize(1);
         final RolloutFeed last = feedWithRank(300);
         last.writeDue();
         now.addAndGet(400);
         last.writeDue();
-        assertThat(store.waiting()).hasSize(2);
+        assertThat(store.pending()).hasSize(2);
     }
 
     @Test
@@ -85,9 +85,9 @@
         final RolloutFeed feed = feedWithRank(300);
         feed.onAll(order(RolloutPhase.IN_PROGRESS, 5));
         for (int i = 0; i < 10; i++) {
-            beliefs.canary(MODELS).onResponse(BackendServerId.of("i-" + i), "v2", true, 0);
+            state.canary(MODELS).onResponse(BackendServerId.of("i-" + i), "v2", true, 0);
         }
         feed.writeDue();
-        assertThat(store.waiting()).hasSize(1);
+        assertThat(store.pending()).hasSize(1);
     }
 }
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/ServerFeedTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/ServerFeedTest.java
@@ -21,8 +21,8 @@
     private static final ServiceName MODELS = ServiceName.of("models");
 
     private final AtomicLong now = new AtomicLong(1_000_000);
-    private final GatewayState beliefs = new GatewayState(now::get, TestBounds.BOUNDS);
-    private final ServerFeed feed = new ServerFeed(beliefs, () -> {});
+    private final GatewayState state = new GatewayState(now::get, TestBounds.BOUNDS);
+    private final ServerFeed feed = new ServerFeed(state, () -> {});
 
     private static StoredValue<ServerEntry> entry(final String id) {
         final ServerEntry entry =
@@ -39,7 +39,7 @@
     }
 
     private List<String> usable() {
-        return beliefs.servers().usable(MODELS).stream()
+        return state.servers().usable(MODELS).stream()
                 .map(server -> server.entry().id().value())
                 .toList();
     }
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/StoreRestoreTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/StoreRestoreTest.java
@@ -67,12 +67,11 @@
         private final Random random;
         private final AtomicLong now = new AtomicLong(1_000_000);
         private final EmbeddedChannel channel = new EmbeddedChannel();
-        private final GatewayState beliefs = new GatewayState(now::get, TestBounds.BOUNDS);
+        private final GatewayState state = new GatewayState(now::get, TestBounds.BOUNDS);
         private final RestorableStore store = new RestorableStore();
-        private final ServerFeed servers = new ServerFeed(beliefs, () -> {});
+        private final ServerFeed servers = new ServerFeed(state, () -> {});
         private final RolloutFeed rollouts =
-                new RolloutFeed(
-                        beliefs, store, InstantSource.fixed(Instant.EPOCH), t -> 0, () -> {});
+                new RolloutFeed(state, store, InstantSource.fixed(Instant.EPOCH), t -> 0, () -> {});
 
         /** The latest entries by id; they are written again after a restore. */
         private final Map<String, ServerEntry> entriesById = new HashMap<>();
@@ -109,12 +108,12 @@
                             pace,
                             random,
                             eras,
-                            new ConfigurationFeed(beliefs));
+                            new ConfigurationFeed(state));
             final Follower<RolloutOrder> orders =
                     new Follower<>(loop, store, StoreKind.ROLLOUTS, pace, random, eras, rollouts);
             final Follower<ServerEntry> entries =
                     new Follower<>(loop, store, StoreKind.SERVERS, pace, random, eras, servers);
-            beliefs.onOrdersNeeded(orders::refresh);
+            state.onOrdersNeeded(orders::refresh);
             configurations.start();
             orders.start();
             entries.start();
@@ -236,7 +235,7 @@
         }
 
         private void halt() {
-            final Canary canary = beliefs.canary(SERVICE);
+            final Canary canary = state.canary(SERVICE);
             if (orderedVersion.isPresent()
                     && !versionsInUse.contains(orderedVersion.get())
                     && canary.admits(orderedVersion.get(), true)) {
@@ -286,7 +285,7 @@
             channel.advanceTimeBy(STEP_MILLIS, TimeUnit.MILLISECONDS);
             channel.runScheduledPendingTasks();
             servers.removeExpired();
-            beliefs.checkRestoreGrace();
+            state.checkRestoreGrace();
             rollouts.writeDue();
             while (store.deliver(random)) {
                 check();
@@ -329,16 +328,16 @@
             store.order("models")
                     .filter(o -> o.phase() == RolloutPhase.COMPLETED)
                     .ifPresent(o -> versionsInUse.add(o.target()));
-            final long version = beliefs.configuration().map(c -> c.version()).orElse(0L);
+            final long version = state.configuration().map(c -> c.version()).orElse(0L);
             assertThat(version).isGreaterThanOrEqualTo(lastConfiguration);
             lastConfiguration = version;
-            for (final TrackedServer server : beliefs.servers().all()) {
+            for (final TrackedServer server : state.servers().all()) {
                 if (server.entry().draining()) {
                     seenDraining.add(server.entry().id().value());
                 }
             }
             assertThat(usable()).as("drained servers").noneMatch(seenDraining::contains);
-            final Canary canary = beliefs.canary(SERVICE);
+            final Canary canary = state.canary(SERVICE);
             for (int i = 1; i <= lastNumber; i++) {
                 final String candidate = "v" + i;
                 if (!versionsInUse.contains(candidate)) {
@@ -352,12 +351,12 @@
 
         private Set<String> usable() {
             final Set<String> ids = new TreeSet<>();
-            beliefs.servers().usable(SERVICE).forEach(s -> ids.add(s.entry().id().value()));
+            state.servers().usable(SERVICE).forEach(s -> ids.add(s.entry().id().value()));
             return ids;
         }
 
         private void checkAgreement() {
-            assertThat(beliefs.configuration().orElseThrow().version()).isEqualTo(configuration);
+            assertThat(state.configuration().orElseThrow().version()).isEqualTo(configuration);
             final Set<String> expected = new TreeSet<>();
             entriesById.forEach(
                     (id, entry) -> {
