--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/RestorableStore.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/RestorableStore.java
@@ -21,7 +21,7 @@
 import org.fennelstage.store.StoredValue;
 
 /**
- * An in-memory store that can be restored from older copies and responds when a test says so.
+ * An in-memory store that can be restored from older copies; the test completes its calls.
  *
  * <p>A response may be created before a restore and delivered after it. Not thread-safe; confined
  * to the thread of its test.
