--- a/fennelstage-router/src/main/java/org/fennelstage/control/BillWriter.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/control/BillWriter.java
@@ -16,12 +16,13 @@
 import org.fennelstage.objects.WriteResult;
 
 /**
- * Appends bills to segments that only this incarnation of this VM writes, so that keepers never
- * compete for an object.
+ * Appends bills to segments that only this incarnation of this VM writes, so that keepers do not
+ * contend for objects.
  *
- * <p>Invariant: at most one append is under way. After a lost answer the same segment is written
- * again with the same expected revision; a conflict then means that the lost write stands, since
- * nobody else writes the object. Not thread-safe but for the hand-over by its futures.
+ * <p>Invariant: at most one append is in progress. After a write with an unknown result the segment
+ * is written again with the same expected revision; a conflict then means that the earlier write
+ * took effect, since there is no other writer. Not thread-safe; the next append happens after the
+ * future of the previous one completes.
  */
 final class BillWriter {
 
@@ -44,8 +45,8 @@
         this.incarnation = incarnation;
     }
 
-    /** Returns how many bills the next append may have. */
-    int room() {
+    /** Returns the maximum number of bills of the next append. */
+    int remainingCapacity() {
         return Math.max(1, BillSegment.CAPACITY - segment.bills().size());
     }
 
@@ -67,8 +68,9 @@
             return true;
         }
         if (result instanceof WriteResult.Conflict conflict) {
-            // An earlier write of ours stands although its answer was lost. Its bills are still in
-            // the caller's hands and are added again on top, where the set drops them.
+            // An earlier write took effect although its result was unknown. The caller still holds
+            // its
+            // bills and appends them again; readers count each request id once.
             revision = conflict.current().revision();
         }
         return false;
--- a/fennelstage-router/src/main/java/org/fennelstage/control/Bills.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/control/Bills.java
@@ -29,54 +29,55 @@
 import org.fennelstage.peer.generated.Envelope;
 
 /**
- * Brings the bills of this VM's requests into the object API, through a keeper VM of the data
- * centre.
+ * Writes the bills of this VM's requests to the store, through a keeper VM of the data centre.
  *
- * <p>Before a caller sees the end of its answer the bill is in the memory of two VMs, this one and
- * the keeper. The keeper writes all it holds once a second. If the keeper dies this VM sends its
- * bills to the next; if this VM dies the keeper has them. A bill is lost only if both die within
- * the time of one write, or all VMs of a data centre while the platform is down.
+ * <p>A bill is replicated in the memory of this VM and the keeper before the caller receives the
+ * end of its response. The keeper writes its bills once a second. If the keeper crashes this VM
+ * sends its bills to the next one; if this VM crashes the keeper has them. A bill is lost only if
+ * both crash before it is written, or all VMs of the data centre crash while the store is
+ * unavailable.
  *
- * <p>Invariant: a bill leaves memory only after the object API holds it. Bills may be written more
- * than once; readers count each request id once. Thread-safe; one monitor guards the two tables.
+ * <p>Invariant: a bill leaves memory only after the store or, at a hand-over, another VM holds it.
+ * Bills may be written more than once; readers count each request id once. Thread-safe; one monitor
+ * guards the two tables.
  */
 public final class Bills {
 
-    /** The duty of keeping a data centre's bills. */
+    /** The duty of writing a data centre's bills. */
     public static final String DUTY = "bills";
 
     private static final Duration HOLD_TIMEOUT = Duration.ofMillis(300);
     private static final Duration FLUSH_PERIOD = Duration.ofSeconds(1);
     private static final Duration RESEND_AFTER = Duration.ofSeconds(5);
-    private static final int CHOICES = 2;
+    private static final int MAX_KEEPERS_TRIED = 2;
     private static final int RESEND_BATCH = 200;
 
     private final Duties duties;
     private final BillWriter writer;
     private final ScheduledExecutorService timer;
     private final InstantSource clock;
-    private final Map<RequestId, Own> own = new LinkedHashMap<>();
-    private final Map<RequestId, Held> held = new LinkedHashMap<>();
+    private final Map<RequestId, OwnBill> ownBills = new LinkedHashMap<>();
+    private final Map<RequestId, HeldBill> heldBills = new LinkedHashMap<>();
     private boolean flushing;
 
-    private static final class Own {
+    private static final class OwnBill {
         private final Bill bill;
         private long sentMillis;
 
-        Own(final Bill bill, final long sentMillis) {
+        OwnBill(final Bill bill, final long sentMillis) {
             this.bill = bill;
             this.sentMillis = sentMillis;
         }
     }
 
-    private record Held(Bill bill, VmId origin) {}
+    private record HeldBill(Bill bill, VmId origin) {}
 
     /**
-     * Creates bills and starts their timers.
+     * Creates the bills of this VM; {@link #start} starts the timers.
      *
-     * @param duties reaches the keepers
-     * @param store the object API
-     * @param timer runs flushes
+     * @param duties determines the keepers and sends messages to them
+     * @param store the store
+     * @param timer schedules writes and resends
      * @param clock the clock
      */
     public Bills(
@@ -91,7 +92,7 @@
                 new BillWriter(store, duties.dataCentre(), duties.self(), duties.incarnation());
     }
 
-    /** Begins to write and resend bills. */
+    /** Starts periodic writes and resends. */
     public void start() {
         final long period = FLUSH_PERIOD.toMillis();
         timer.scheduleWithFixedDelay(this::flush, period, period, TimeUnit.MILLISECONDS);
@@ -99,51 +100,53 @@
     }
 
     /**
-     * Takes a bill into two memories.
+     * Replicates a bill in the memory of two VMs.
      *
      * @param bill the bill
-     * @return completes when the caller may see the end of its answer
+     * @return completes when the end of the response may be sent to the caller
      */
     public CompletableFuture<Void> record(final Bill bill) {
         synchronized (this) {
-            own.put(bill.request(), new Own(bill, clock.millis()));
+            ownBills.put(bill.request(), new OwnBill(bill, clock.millis()));
         }
         return hold(bill, duties.others(DUTY), 0);
     }
 
     /**
-     * Returns how many bills are not in the object API yet.
+     * Returns the number of bills that are not known to be in the store.
      *
-     * @return own ones and those kept for others
+     * @return the bills of this VM and those held for other VMs
      */
     public synchronized int waiting() {
-        return own.size() + held.size();
+        return ownBills.size() + heldBills.size();
     }
 
-    /** Writes what is held, now; used before this VM stops. */
+    /**
+     * Writes the held bills without waiting for the next period; also called before this VM stops.
+     */
     public void flush() {
-        final List<Held> batch;
+        final List<HeldBill> batch;
         synchronized (this) {
-            if (flushing || held.isEmpty()) {
+            if (flushing || heldBills.isEmpty()) {
                 return;
             }
             flushing = true;
-            batch = held.values().stream().limit(writer.room()).toList();
+            batch = heldBills.values().stream().limit(writer.remainingCapacity()).toList();
         }
-        writer.append(batch.stream().map(Held::bill).toList())
+        writer.append(batch.stream().map(HeldBill::bill).toList())
                 .thenAccept(written -> onFlushed(batch, written));
     }
 
     /**
-     * Hands all bills to another VM; used before this VM stops while the object API is down.
+     * Sends all bills to another VM; called before this VM stops while the store is unavailable.
      *
-     * @return completes when another VM has them, or has refused
+     * @return completes when another VM has them or has not replied in time
      */
     public CompletableFuture<Void> handOver() {
         final List<Bill> all = new ArrayList<>();
         synchronized (this) {
-            own.values().forEach(o -> all.add(o.bill));
-            held.values().forEach(h -> all.add(h.bill()));
+            ownBills.values().forEach(o -> all.add(o.bill));
+            heldBills.values().forEach(h -> all.add(h.bill()));
         }
         final List<VmId> others = duties.others(DUTY);
         if (others.isEmpty() || all.isEmpty()) {
@@ -159,11 +162,11 @@
     }
 
     /**
-     * Takes a message if it is about bills.
+     * Handles a message if it is about bills.
      *
      * @param message the message
-     * @param reply sends the answer
-     * @return false if the message belongs to someone else
+     * @param reply sends the reply to the sender
+     * @return false if the message is of another kind
      */
     public boolean handle(final Envelope message, final Consumer<Envelope.Builder> reply) {
         switch (message.getBodyCase()) {
@@ -180,25 +183,25 @@
     }
 
     private CompletableFuture<Void> hold(
-            final Bill bill, final List<VmId> choices, final int next) {
-        if (next >= choices.size() || next >= CHOICES) {
-            return holdAlone(bill);
+            final Bill bill, final List<VmId> keepers, final int next) {
+        if (next >= keepers.size() || next >= MAX_KEEPERS_TRIED) {
+            return writeAlone(bill);
         }
-        return duties.request(choices.get(next), encode(List.of(bill)), HOLD_TIMEOUT)
+        return duties.request(keepers.get(next), encode(List.of(bill)), HOLD_TIMEOUT)
                 .thenCompose(
                         reply ->
                                 reply.isPresent()
                                         ? CompletableFuture.<Void>completedFuture(null)
-                                        : hold(bill, choices, next + 1));
+                                        : hold(bill, keepers, next + 1));
     }
 
-    private CompletableFuture<Void> holdAlone(final Bill bill) {
-        // Nobody else is there to keep the bill, so this VM writes it itself. The caller waits for
-        // the write as it would have waited for the other VM; if the object API is down too it gets
-        // its answer all the same, since a bill at risk harms less than an answer withheld.
+    private CompletableFuture<Void> writeAlone(final Bill bill) {
+        // No other VM holds the bill, so this VM writes it to the store itself. The response waits
+        // for
+        // the write for a limited time; if the store is unavailable too, it is sent nevertheless.
         synchronized (this) {
-            own.remove(bill.request());
-            held.put(bill.request(), new Held(bill, duties.self()));
+            ownBills.remove(bill.request());
+            heldBills.put(bill.request(), new HeldBill(bill, duties.self()));
         }
         final CompletableFuture<Void> done = new CompletableFuture<>();
         flush();
@@ -212,7 +215,7 @@
             final CompletableFuture<Void> done) {
         final boolean isWritten;
         synchronized (this) {
-            isWritten = !held.containsKey(request);
+            isWritten = !heldBills.containsKey(request);
         }
         if (isWritten) {
             done.complete(null);
@@ -236,21 +239,21 @@
             for (final ByteString bytes : message.getBills().getBillsList()) {
                 final Bill bill = Json.read(bytes.toByteArray(), Bill.class);
                 synchronized (this) {
-                    held.put(bill.request(), new Held(bill, origin));
+                    heldBills.put(bill.request(), new HeldBill(bill, origin));
                 }
             }
             reply.accept(Envelope.newBuilder().setDone(Done.newBuilder().setAccepted(true)));
         } catch (final MalformedValueException e) {
-            // No answer: the sender turns to another VM and keeps its copy.
+            // Without a reply the sender keeps its copy and tries another VM.
             return;
         }
     }
 
-    private void onFlushed(final List<Held> batch, final boolean written) {
+    private void onFlushed(final List<HeldBill> batch, final boolean written) {
         synchronized (this) {
             flushing = false;
             if (written) {
-                batch.forEach(h -> held.remove(h.bill().request()));
+                batch.forEach(h -> heldBills.remove(h.bill().request()));
             }
         }
         if (!written) {
@@ -259,7 +262,7 @@
         }
         EventLog.write(Event.BILLS_WRITTEN, "count", batch.size());
         final Map<VmId, BillsSettled.Builder> byOrigin = new HashMap<>();
-        for (final Held settled : batch) {
+        for (final HeldBill settled : batch) {
             byOrigin.computeIfAbsent(settled.origin(), o -> BillsSettled.newBuilder())
                     .addRequests(settled.bill().request().value());
         }
@@ -272,9 +275,9 @@
         final long now = clock.millis();
         final List<Bill> late = new ArrayList<>();
         synchronized (this) {
-            final Iterator<Own> all = own.values().iterator();
+            final Iterator<OwnBill> all = ownBills.values().iterator();
             while (all.hasNext() && late.size() < RESEND_BATCH) {
-                final Own candidate = all.next();
+                final OwnBill candidate = all.next();
                 if (now - candidate.sentMillis >= RESEND_AFTER.toMillis()) {
                     candidate.sentMillis = now;
                     late.add(candidate.bill);
@@ -290,18 +293,18 @@
             return;
         }
         synchronized (this) {
-            late.forEach(b -> held.put(b.request(), new Held(b, duties.self())));
-            late.forEach(b -> own.remove(b.request()));
+            late.forEach(b -> heldBills.put(b.request(), new HeldBill(b, duties.self())));
+            late.forEach(b -> ownBills.remove(b.request()));
         }
     }
 
     private synchronized void forgetOwn(final RequestId request) {
-        own.remove(request);
+        ownBills.remove(request);
     }
 
     private synchronized void forget(final RequestId request) {
-        own.remove(request);
-        held.remove(request);
+        ownBills.remove(request);
+        heldBills.remove(request);
     }
 
     private static Envelope.Builder encode(final Collection<Bill> bills) {
--- a/fennelstage-router/src/main/java/org/fennelstage/control/ClaimAnswer.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/control/ClaimAnswer.java
@@ -2,23 +2,23 @@
 
 import org.fennelstage.claim.Claim;
 
-/** The end of a change to a claim. Immutable and thread-safe. */
+/** The result of a change to a claim. Immutable and thread-safe. */
 public sealed interface ClaimAnswer {
 
-    /** The change stands in the object API. */
+    /** The store holds the change. */
     record Made() implements ClaimAnswer {}
 
     /**
-     * The change may not be made; the key has another claim.
+     * The change conflicts with the current claim of the key.
      *
-     * @param held the claim
+     * @param held the current claim
      */
     record Refused(Claim held) implements ClaimAnswer {}
 
     /**
-     * Nobody can tell whether the change stands, or it does not.
+     * The change was not confirmed; it may or may not take effect.
      *
-     * @param detail text for a person
+     * @param detail the reason, for operators
      */
     record Unavailable(String detail) implements ClaimAnswer {}
 }
--- a/fennelstage-router/src/main/java/org/fennelstage/control/ClaimKeeper.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/control/ClaimKeeper.java
@@ -30,53 +30,53 @@
 import org.fennelstage.objects.WriteResult;
 
 /**
- * Makes changes to claims, many at a time, by conditional updates of the open segment of each slot.
+ * Applies changes to claims in batches, by conditional writes of the open segment of each slot.
  *
- * <p>Invariant: an answer "made" is given only after the object API holds the change. Any number of
- * keepers may work on a slot at once: all but one lose each conditional update, read what won, and
- * try again on top of it. What a keeper remembers is only a cache. Thread-safe; one monitor per
- * slot guards its queue and cache, and futures are completed outside of it.
+ * <p>Invariant: {@link ClaimAnswer.Made} is returned only after the store holds the change. Several
+ * keepers may work on a slot concurrently: one conditional write succeeds, and the others read the
+ * result and retry on top of it. The state of a keeper is only a cache. Thread-safe; one monitor
+ * per slot guards its queue and cache, and futures are completed outside of it.
  */
 public final class ClaimKeeper {
 
-    private static final Duration FIRST_RETRY = Duration.ofMillis(20);
-    private static final Duration LONGEST_RETRY = Duration.ofSeconds(1);
+    private static final Duration MIN_RETRY_DELAY = Duration.ofMillis(20);
+    private static final Duration MAX_RETRY_DELAY = Duration.ofSeconds(1);
 
     private final ObjectStore store;
     private final ScheduledExecutorService timer;
     private final InstantSource clock;
     private final RandomGenerator random;
-    private final Duration patience;
+    private final Duration timeout;
     private final Map<Integer, Slot> slots = new HashMap<>();
 
     /**
      * Creates a keeper.
      *
-     * @param store the object API
-     * @param timer runs retries
+     * @param store the store
+     * @param timer schedules retries
      * @param clock the clock
-     * @param random jitter of retries
-     * @param patience how long a change is tried before it is given up
+     * @param random source of the jitter of retries
+     * @param timeout the time after which a change that is not written yet fails
      */
     public ClaimKeeper(
             final ObjectStore store,
             final ScheduledExecutorService timer,
             final InstantSource clock,
             final RandomGenerator random,
-            final Duration patience) {
+            final Duration timeout) {
         this.store = Objects.requireNonNull(store, "store is null");
         this.timer = Objects.requireNonNull(timer, "timer is null");
         this.clock = Objects.requireNonNull(clock, "clock is null");
         this.random = Objects.requireNonNull(random, "random is null");
-        this.patience = Objects.requireNonNull(patience, "patience is null");
+        this.timeout = Objects.requireNonNull(timeout, "timeout is null");
     }
 
     /**
-     * Makes a change.
+     * Applies a change.
      *
      * @param slot the slot of the change's key
      * @param change the change
-     * @return how it ended
+     * @return the result of the change
      */
     public CompletableFuture<ClaimAnswer> submit(final int slot, final ClaimChange change) {
         final Slot target;
@@ -99,12 +99,12 @@
         return all.stream().mapToInt(Slot::cached).sum();
     }
 
-    private record Waiting(
-            ClaimChange change, CompletableFuture<ClaimAnswer> answer, long deadlineMillis) {}
+    private record PendingChange(
+            ClaimChange change, CompletableFuture<ClaimAnswer> future, long deadlineMillis) {}
 
-    private record Settled(CompletableFuture<ClaimAnswer> answer, ClaimAnswer value) {
+    private record Completion(CompletableFuture<ClaimAnswer> future, ClaimAnswer value) {
         void complete() {
-            answer.complete(value);
+            future.complete(value);
         }
     }
 
@@ -113,37 +113,39 @@
 
         private final int number;
         private final Backoff backoff;
-        private List<Waiting> queue = new ArrayList<>();
+        private List<PendingChange> queue = new ArrayList<>();
         private ClaimLog log;
         private Revision revision = Revision.NONE;
         private boolean busy;
 
         Slot(final int number) {
             this.number = number;
-            this.backoff = Backoff.of(random, FIRST_RETRY, LONGEST_RETRY);
+            this.backoff = Backoff.of(random, MIN_RETRY_DELAY, MAX_RETRY_DELAY);
         }
 
         CompletableFuture<ClaimAnswer> submit(final ClaimChange change) {
-            final CompletableFuture<ClaimAnswer> answer = new CompletableFuture<>();
-            final long deadline = clock.millis() + patience.toMillis();
+            final CompletableFuture<ClaimAnswer> future = new CompletableFuture<>();
+            final long deadline = clock.millis() + timeout.toMillis();
             synchronized (this) {
-                queue.add(new Waiting(change, answer, deadline));
+                queue.add(new PendingChange(change, future, deadline));
                 if (busy) {
-                    return answer;
+                    return future;
                 }
                 busy = true;
             }
             step();
-            return answer;
+            return future;
         }
 
         synchronized int cached() {
             return log == null ? 0 : log.size();
         }
 
-        /** Does the next thing for the queue; entered only by the one that set busy. */
+        /**
+         * Processes the queue; called only by the thread that set {@code busy}, or its callbacks.
+         */
         private void step() {
-            giveUpLate();
+            failOverdue();
             final boolean isLoaded;
             synchronized (this) {
                 if (queue.isEmpty()) {
@@ -173,7 +175,7 @@
                                             changed.objects().size());
                                     step();
                                 } else {
-                                    stepLater();
+                                    scheduleStep();
                                 }
                             });
         }
@@ -200,18 +202,18 @@
         }
 
         private void commit() {
-            final List<Waiting> batch;
-            final List<Settled> settled = new ArrayList<>();
-            final List<Waiting> written = new ArrayList<>();
+            final List<PendingChange> batch;
+            final List<Completion> completions = new ArrayList<>();
+            final List<PendingChange> written = new ArrayList<>();
             final ClaimSegment next;
             final Revision expected;
             synchronized (this) {
                 batch = queue;
                 queue = new ArrayList<>();
-                next = apply(batch, settled, written);
+                next = apply(batch, completions, written);
                 expected = revision;
             }
-            settled.forEach(Settled::complete);
+            completions.forEach(Completion::complete);
             if (written.isEmpty() && !next.isFull()) {
                 step();
                 return;
@@ -225,36 +227,39 @@
                     .thenAccept(result -> onWritten(result, segment, written));
         }
 
-        /** Sorts a batch into what can be answered now and what the next write will make. */
+        /** Splits a batch into changes whose result is known and changes for the next write. */
         private ClaimSegment apply(
-                final List<Waiting> batch,
-                final List<Settled> settled,
-                final List<Waiting> written) {
+                final List<PendingChange> batch,
+                final List<Completion> completions,
+                final List<PendingChange> written) {
             ClaimLog current = log;
-            for (final Waiting waiting : batch) {
-                final ClaimChange change = waiting.change();
+            for (final PendingChange pending : batch) {
+                final ClaimChange change = pending.change();
                 if (log.contains(change)) {
-                    settled.add(new Settled(waiting.answer(), new ClaimAnswer.Made()));
+                    completions.add(new Completion(pending.future(), new ClaimAnswer.Made()));
                 } else if (current.allows(change)) {
                     current = current.advance(current.open().with(change));
-                    written.add(waiting);
+                    written.add(pending);
                 } else {
                     final Claim held = current.find(change.key()).orElseGet(() -> change.claim());
-                    settled.add(new Settled(waiting.answer(), new ClaimAnswer.Refused(held)));
+                    completions.add(
+                            new Completion(pending.future(), new ClaimAnswer.Refused(held)));
                 }
             }
             return current.open();
         }
 
         private void onWritten(
-                final WriteResult result, final ClaimSegment segment, final List<Waiting> written) {
+                final WriteResult result,
+                final ClaimSegment segment,
+                final List<PendingChange> written) {
             if (result instanceof WriteResult.Written done) {
                 synchronized (this) {
                     log = log.advance(segment);
                     revision = segment.sealed() ? Revision.NONE : done.revision();
                     backoff.reset();
                 }
-                written.forEach(w -> w.answer().complete(new ClaimAnswer.Made()));
+                written.forEach(w -> w.future().complete(new ClaimAnswer.Made()));
                 step();
                 return;
             }
@@ -262,25 +267,27 @@
             if (result instanceof WriteResult.Conflict conflict) {
                 onConflict(conflict.current());
             } else {
-                // Unknown: the write may stand although its answer was lost. Reading back tells;
-                // the changes are in the queue again and are answered from what is read.
+                // The write may have taken effect although its result is unknown. The changes are
+                // queued
+                // again and completed from the segment that is read back.
                 readBack(segment.number());
             }
         }
 
         private void onConflict(final StoredObject current) {
-            if (adopt(current)) {
+            if (updateCache(current)) {
                 step();
                 return;
             }
-            // The store refuses our revision and shows an older one: it was restored from an older
-            // copy. Trying again at once would loop, use up this VM's calls, and keep its bills
-            // from being written; what is cached is worth nothing, so it is read anew, later.
+            // The store rejects the cached revision and returns an older one: it was restored from
+            // an
+            // older copy. An immediate retry would loop and use up this VM's calls, so the cache is
+            // dropped and reloaded after a delay.
             synchronized (this) {
                 log = null;
                 revision = Revision.NONE;
             }
-            stepLater();
+            scheduleStep();
         }
 
         private void readBack(final long segment) {
@@ -288,14 +295,14 @@
                     .thenAccept(
                             result -> {
                                 if (result instanceof ReadResult.Found found) {
-                                    adopt(found.object());
+                                    updateCache(found.object());
                                 }
-                                stepLater();
+                                scheduleStep();
                             });
         }
 
-        /** Takes over what the store holds; false if that is not newer than what is cached. */
-        private synchronized boolean adopt(final StoredObject object) {
+        /** Updates the cache from an object; returns false if the object is not newer. */
+        private synchronized boolean updateCache(final StoredObject object) {
             if (!object.revision().isAfter(revision)) {
                 return false;
             }
@@ -313,34 +320,34 @@
             return true;
         }
 
-        private synchronized void requeue(final List<Waiting> written) {
-            final List<Waiting> all = new ArrayList<>(written);
+        private synchronized void requeue(final List<PendingChange> written) {
+            final List<PendingChange> all = new ArrayList<>(written);
             all.addAll(queue);
             queue = all;
         }
 
-        private void giveUpLate() {
+        private void failOverdue() {
             final long now = clock.millis();
-            final List<Waiting> late = new ArrayList<>();
+            final List<PendingChange> overdue = new ArrayList<>();
             synchronized (this) {
                 queue.removeIf(
                         w -> {
-                            final boolean isLate = now >= w.deadlineMillis();
-                            if (isLate) {
-                                late.add(w);
+                            final boolean isOverdue = now >= w.deadlineMillis();
+                            if (isOverdue) {
+                                overdue.add(w);
                             }
-                            return isLate;
+                            return isOverdue;
                         });
             }
-            late.forEach(
+            overdue.forEach(
                     w ->
-                            w.answer()
+                            w.future()
                                     .complete(
                                             new ClaimAnswer.Unavailable(
-                                                    "the object API did not confirm in time")));
+                                                    "the store did not confirm the change in time")));
         }
 
-        private void stepLater() {
+        private void scheduleStep() {
             final long wait;
             synchronized (this) {
                 wait = backoff.nextWait().toMillis();
--- a/fennelstage-router/src/main/java/org/fennelstage/control/Claims.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/control/Claims.java
@@ -21,11 +21,11 @@
 import org.fennelstage.peer.generated.Envelope;
 
 /**
- * Takes, settles and gives back claims for the requests of this VM, through the keeper of each
- * key's slot in this data centre or, if that does not answer, by itself.
+ * Takes, completes and releases claims for the requests of this VM, through the keeper of each
+ * key's slot in this data centre or, if the keeper does not reply, through this VM's own keeper.
  *
- * <p>Invariant: a claim counts as taken only if "made" was heard before the wait was over; a
- * request whose wait is over never runs, whatever becomes of its claim later. Thread-safe.
+ * <p>Invariant: a claim is taken only if {@link ClaimAnswer.Made} arrives before the timeout; a
+ * request whose claim timed out never runs, even if the claim is written later. Thread-safe.
  */
 public final class Claims {
 
@@ -38,17 +38,17 @@
     private final ScheduledExecutorService timer;
     private final InstantSource clock;
     private final int slots;
-    private final Duration wait;
+    private final Duration timeout;
 
     /**
-     * Creates claims.
+     * Creates the claims of this VM.
      *
-     * @param duties reaches the keepers
+     * @param duties determines the keepers and sends messages to them
      * @param keeper this VM's own keeper
-     * @param timer runs waits
+     * @param timer schedules timeouts and retries
      * @param clock the clock
      * @param slots the number of slots
-     * @param wait the longest wait for a claim
+     * @param timeout the maximum wait for a claim
      */
     public Claims(
             final Duties duties,
@@ -56,13 +56,13 @@
             final ScheduledExecutorService timer,
             final InstantSource clock,
             final int slots,
-            final Duration wait) {
+            final Duration timeout) {
         this.duties = Objects.requireNonNull(duties, "duties is null");
         this.keeper = Objects.requireNonNull(keeper, "keeper is null");
         this.timer = Objects.requireNonNull(timer, "timer is null");
         this.clock = Objects.requireNonNull(clock, "clock is null");
         this.slots = slots;
-        this.wait = Objects.requireNonNull(wait, "wait is null");
+        this.timeout = Objects.requireNonNull(timeout, "wait is null");
     }
 
     /**
@@ -77,27 +77,27 @@
     }
 
     /**
-     * Takes the right to run a request.
+     * Claims the right to run a request.
      *
      * @param key the claim's key
      * @param holder the request
-     * @return made, refused or unavailable; never later than the wait
+     * @return made, refused or unavailable; completes at the timeout at the latest
      */
     public CompletableFuture<ClaimAnswer> take(final String key, final RequestId holder) {
         final Claim claim = new Claim(holder, duties.self(), Claim.State.HELD, clock.millis());
         final ClaimChange change = new ClaimChange(key, claim);
-        final CompletableFuture<ClaimAnswer> answer = new CompletableFuture<>();
-        submit(change).thenAccept(answer::complete);
+        final CompletableFuture<ClaimAnswer> result = new CompletableFuture<>();
+        submit(change).thenAccept(result::complete);
         timer.schedule(
-                () -> answer.complete(new ClaimAnswer.Unavailable("no answer in time")),
-                wait.toMillis(),
+                () -> result.complete(new ClaimAnswer.Unavailable("the claim timed out")),
+                timeout.toMillis(),
                 TimeUnit.MILLISECONDS);
-        return answer;
+        return result;
     }
 
     /**
-     * Notes that the holder ran to its end. If this is lost the claim stays held, and a repeated
-     * request is told "unknown" instead of "already done".
+     * Marks a claim as done after its holder has run. If this write is lost the claim stays held,
+     * and a retry of the caller gets "unknown" instead of "already done".
      *
      * @param key the claim's key
      * @param holder the request
@@ -107,7 +107,7 @@
     }
 
     /**
-     * Gives the right back after it is certain that the request did not run.
+     * Releases a claim whose request certainly did not run.
      *
      * @param key the claim's key
      * @param holder the request
@@ -117,11 +117,11 @@
     }
 
     /**
-     * Takes a message if it is for the keeper.
+     * Handles a message if it is a claim request.
      *
      * @param message the message
-     * @param reply sends the answer
-     * @return false if the message belongs to someone else
+     * @param reply sends the reply to the sender
+     * @return false if the message is of another kind
      */
     public boolean handle(final Envelope message, final Consumer<Envelope.Builder> reply) {
         if (message.getBodyCase() != Envelope.BodyCase.CLAIM_REQUEST) {
@@ -135,7 +135,7 @@
                         STATES[request.getState()],
                         request.getAtMillis());
         keeper.submit(request.getSlot(), new ClaimChange(request.getKey(), claim))
-                .thenAccept(answer -> reply.accept(encode(answer, claim)));
+                .thenAccept(result -> reply.accept(encode(result, claim)));
         return true;
     }
 
@@ -143,17 +143,17 @@
             final String key,
             final RequestId holder,
             final Claim.State state,
-            final int triesLeft) {
+            final int attemptsLeft) {
         final Claim claim = new Claim(holder, duties.self(), state, clock.millis());
         submit(new ClaimChange(key, claim))
                 .thenAccept(
-                        answer -> {
-                            if (!(answer instanceof ClaimAnswer.Unavailable)) {
+                        result -> {
+                            if (!(result instanceof ClaimAnswer.Unavailable)) {
                                 return;
                             }
-                            if (triesLeft > 1) {
+                            if (attemptsLeft > 1) {
                                 timer.schedule(
-                                        () -> settle(key, holder, state, triesLeft - 1),
+                                        () -> settle(key, holder, state, attemptsLeft - 1),
                                         RELEASE_RETRY.toMillis(),
                                         TimeUnit.MILLISECONDS);
                             } else {
@@ -169,7 +169,7 @@
         if (holder.isEmpty() || holder.get().equals(duties.self())) {
             return keeper.submit(slot, change);
         }
-        return duties.request(holder.get(), encode(slot, change), wait.dividedBy(2))
+        return duties.request(holder.get(), encode(slot, change), timeout.dividedBy(2))
                 .thenCompose(
                         reply ->
                                 reply.map(e -> decode(e.getClaimReply(), change))
@@ -189,11 +189,11 @@
                                 .setAtMillis(change.claim().atMillis()));
     }
 
-    private static Envelope.Builder encode(final ClaimAnswer answer, final Claim wanted) {
+    private static Envelope.Builder encode(final ClaimAnswer result, final Claim wanted) {
         final ClaimReply.Builder reply = ClaimReply.newBuilder();
-        if (answer instanceof ClaimAnswer.Made) {
+        if (result instanceof ClaimAnswer.Made) {
             reply.setResult(ClaimReply.Result.MADE).setHolder(wanted.holder().value());
-        } else if (answer instanceof ClaimAnswer.Refused refused) {
+        } else if (result instanceof ClaimAnswer.Refused refused) {
             reply.setResult(ClaimReply.Result.REFUSED)
                     .setHolder(refused.held().holder().value())
                     .setState(refused.held().state().ordinal());
@@ -211,7 +211,7 @@
                                     change.claim().vm(),
                                     STATES[reply.getState()],
                                     change.claim().atMillis()));
-            default -> new ClaimAnswer.Unavailable("the keeper could not reach the object API");
+            default -> new ClaimAnswer.Unavailable("the keeper did not confirm the claim");
         };
     }
 }
--- a/fennelstage-router/src/main/java/org/fennelstage/control/ConfigurationWatcher.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/control/ConfigurationWatcher.java
@@ -18,22 +18,22 @@
 import org.fennelstage.peer.PeerGroup;
 
 /**
- * Watches the configuration in the object API if this VM is one of the two of its data centre whose
- * duty that is; all others hear of changes from peers.
+ * Watches the configuration in the store if this VM is one of the watchers of its data centre; all
+ * other VMs receive changes from peers.
  *
- * <p>So the calls grow with the data centres and not with the VMs. A VM that has just started and
- * hears of no configuration from peers reads it itself, once. Thread-safe: one chain of callbacks
- * carries all state.
+ * <p>The number of calls grows with the data centres and not with the VMs. A VM that has started
+ * and received no configuration from peers reads it from the store itself. Thread-safe: a single
+ * chain of callbacks accesses all mutable state.
  */
 public final class ConfigurationWatcher {
 
-    /** Two, so that a change is not late by a whole failure detection when one of them dies. */
+    /** More than one, so that a crash of a watcher does not delay changes until it is detected. */
     static final int WATCHERS = 2;
 
     private static final Duration LONG_POLL = Duration.ofSeconds(20);
-    private static final Duration CHECK = Duration.ofSeconds(1);
-    private static final Duration FIRST_RETRY = Duration.ofMillis(100);
-    private static final Duration LONGEST_RETRY = Duration.ofSeconds(3);
+    private static final Duration CHECK_PERIOD = Duration.ofSeconds(1);
+    private static final Duration MIN_RETRY_DELAY = Duration.ofMillis(100);
+    private static final Duration MAX_RETRY_DELAY = Duration.ofSeconds(3);
 
     private final ObjectStore store;
     private final Duties duties;
@@ -42,18 +42,18 @@
     private final ScheduledExecutorService timer;
     private final Backoff backoff;
     private Revision since = Revision.NONE;
-    private boolean isLost;
+    private boolean isUnavailable;
     private volatile boolean closed;
 
     /**
      * Creates a watcher.
      *
-     * @param store the object API
-     * @param duties tells whether to watch
-     * @param group spreads what was heard
-     * @param table the configuration
-     * @param timer runs retries
-     * @param random jitter of retries
+     * @param store the store
+     * @param duties determines whether this VM is a watcher
+     * @param group publishes changes to peers
+     * @param table the configuration of this VM
+     * @param timer schedules polls and retries
+     * @param random source of the jitter of retries
      */
     public ConfigurationWatcher(
             final ObjectStore store,
@@ -67,19 +67,19 @@
         this.group = Objects.requireNonNull(group, "group is null");
         this.table = Objects.requireNonNull(table, "table is null");
         this.timer = Objects.requireNonNull(timer, "timer is null");
-        this.backoff = Backoff.of(random, FIRST_RETRY, LONGEST_RETRY);
+        this.backoff = Backoff.of(random, MIN_RETRY_DELAY, MAX_RETRY_DELAY);
     }
 
     /**
-     * Begins, after peers have had time to send their configuration.
+     * Starts watching after peers have had time to send their configuration.
      *
-     * @param grace the time for peers
+     * @param grace the delay before the first step
      */
     public void start(final Duration grace) {
         schedule(grace);
     }
 
-    /** Ends at the next step. */
+    /** Stops watching at the next step. */
     public void close() {
         closed = true;
     }
@@ -91,11 +91,11 @@
         final boolean isEmpty = table.digest().equals(Digest.EMPTY);
         if (!isEmpty && !duties.isAmongFirst("watch", WATCHERS)) {
             since = Revision.NONE;
-            schedule(CHECK);
+            schedule(CHECK_PERIOD);
             return;
         }
-        final Duration wait = since.equals(Revision.NONE) ? Duration.ZERO : LONG_POLL;
-        store.changes(Keys.CONFIGURATION, since, wait, CallPriority.NORMAL)
+        final Duration delay = since.equals(Revision.NONE) ? Duration.ZERO : LONG_POLL;
+        store.changes(Keys.CONFIGURATION, since, delay, CallPriority.NORMAL)
                 .thenAcceptAsync(this::onResult, timer);
     }
 
@@ -103,24 +103,25 @@
         if (result instanceof ChangesResult.Changed changed) {
             backoff.reset();
             group.publish(changed.objects());
-            // An API that was restored from an older copy counts from an older revision. Going back
-            // with it makes the watch see its changes; the table itself never goes back.
+            // A store that was restored from an older copy continues from an older revision. The
+            // watch
+            // follows it to receive its changes; the table keeps its newer objects.
             since = changed.upTo();
-            if (isLost) {
-                isLost = false;
+            if (isUnavailable) {
+                isUnavailable = false;
                 EventLog.write(Event.OBJECT_API_AVAILABLE, "revision", since);
             }
-            schedule(since.equals(Revision.NONE) ? CHECK : Duration.ZERO);
+            schedule(since.equals(Revision.NONE) ? CHECK_PERIOD : Duration.ZERO);
         } else if (result instanceof ChangesResult.Unavailable unavailable) {
-            if (!isLost) {
-                isLost = true;
+            if (!isUnavailable) {
+                isUnavailable = true;
                 EventLog.write(Event.OBJECT_API_UNAVAILABLE, "detail", unavailable.detail());
             }
             schedule(backoff.nextWait());
         }
     }
 
-    private void schedule(final Duration wait) {
-        timer.schedule(this::step, wait.toMillis(), TimeUnit.MILLISECONDS);
+    private void schedule(final Duration delay) {
+        timer.schedule(this::step, delay.toMillis(), TimeUnit.MILLISECONDS);
     }
 }
--- a/fennelstage-router/src/main/java/org/fennelstage/control/Duties.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/control/Duties.java
@@ -15,10 +15,10 @@
 import org.fennelstage.peer.generated.Envelope;
 
 /**
- * Tells which VM of the data centre has a duty, and reaches it.
+ * Determines which VM of the data centre has a duty, and sends messages to it.
  *
- * <p>Two VMs may believe to have the same duty for a while; every duty is safe under that.
- * Thread-safe.
+ * <p>Two VMs may have the same duty for a while, until their membership views agree; every duty
+ * must be safe under that. Thread-safe.
  */
 public final class Duties {
 
@@ -27,11 +27,11 @@
     private final PeerNetwork network;
 
     /**
-     * Creates duties.
+     * Creates the duties of this VM.
      *
-     * @param members the VMs
-     * @param group knows their addresses
-     * @param network reaches them
+     * @param members the known VMs
+     * @param group resolves addresses of VMs
+     * @param network sends messages
      */
     public Duties(final MemberTable members, final PeerGroup group, final PeerNetwork network) {
         this.members = Objects.requireNonNull(members, "members is null");
@@ -54,7 +54,7 @@
     /**
      * Returns the VM that has a duty.
      *
-     * @param duty names the duty
+     * @param duty the name of the duty
      * @return the VM, empty if there is none
      */
     public Optional<VmId> holder(final String duty) {
@@ -62,31 +62,31 @@
     }
 
     /**
-     * Tells whether this VM has a duty.
+     * Returns whether this VM has a duty.
      *
-     * @param duty names the duty
-     * @return true if it has
+     * @param duty the name of the duty
+     * @return true if this VM has the duty
      */
     public boolean isMine(final String duty) {
         return holder(duty).filter(self()::equals).isPresent();
     }
 
     /**
-     * Tells whether this VM is among the first for a duty that several may have.
+     * Returns whether this VM is one of the VMs that have a shared duty.
      *
-     * @param duty names the duty
-     * @param count how many have it
-     * @return true if it is
+     * @param duty the name of the duty
+     * @param count the number of VMs that have it
+     * @return true if this VM is one of them
      */
     public boolean isAmongFirst(final String duty, final int count) {
-        final List<VmId> rank = Rendezvous.rank(duty, members.dutyVms());
-        return rank.subList(0, Math.min(count, rank.size())).contains(self());
+        final List<VmId> ordered = Rendezvous.rank(duty, members.dutyVms());
+        return ordered.subList(0, Math.min(count, ordered.size())).contains(self());
     }
 
     /**
-     * Returns the other VMs of the data centre in the order in which they take a duty.
+     * Returns the other VMs of the data centre in the order in which they take over a duty.
      *
-     * @param duty names the duty
+     * @param duty the name of the duty
      * @return the VMs, first choice first
      */
     public List<VmId> others(final String duty) {
@@ -98,10 +98,10 @@
     /**
      * Sends a message to another VM and waits for its reply.
      *
-     * @param to the VM
+     * @param to the receiver
      * @param body the message
-     * @param timeout the longest wait
-     * @return the reply, empty if none came in time
+     * @param timeout the maximum wait for the reply
+     * @return the reply, empty if the address is unknown or no reply arrived in time
      */
     public CompletableFuture<Optional<Envelope>> request(
             final VmId to, final Envelope.Builder body, final Duration timeout) {
@@ -113,7 +113,7 @@
     /**
      * Sends a message to another VM.
      *
-     * @param to the VM
+     * @param to the receiver
      * @param body the message
      */
     public void send(final VmId to, final Envelope.Builder body) {
--- a/fennelstage-router/src/main/java/org/fennelstage/control/LoadLedger.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/control/LoadLedger.java
@@ -20,11 +20,10 @@
 import org.fennelstage.peer.generated.SlotRequest;
 
 /**
- * Asks for slots of backend servers, each at the VM of this data centre that keeps the server's
- * count, and keeps the counts that are this VM's duty.
+ * Reserves slots of backend servers. One VM of the data centre, the keeper, counts the requests at
+ * each backend server; this class queries the keepers and keeps the counts that are this VM's duty.
  *
- * <p>Without it each VM would know its own requests only, about one in forty of those at a server.
- * Thread-safe.
+ * <p>The shared counts let a VM take the requests of all other VMs into account. Thread-safe.
  */
 public final class LoadLedger {
 
@@ -39,9 +38,9 @@
     /**
      * Creates a ledger.
      *
-     * @param duties reaches the keepers
-     * @param ownLoads tells how many requests this VM has at each server
-     * @param timer runs reports
+     * @param duties determines the keepers and sends messages to them
+     * @param ownLoads returns the number of requests that this VM has at each backend server
+     * @param timer schedules reports
      */
     public LoadLedger(
             final Duties duties,
@@ -52,7 +51,7 @@
         this.timer = Objects.requireNonNull(timer, "timer is null");
     }
 
-    /** Begins to tell keepers of this VM's requests, so that a new keeper learns of them. */
+    /** Starts periodic reports of this VM's load, so that a new keeper receives it. */
     public void start() {
         final long period = REPORT_PERIOD.toMillis();
         timer.scheduleWithFixedDelay(
@@ -60,13 +59,13 @@
     }
 
     /**
-     * Asks for a slot.
+     * Requests a slot.
      *
-     * @param server the server
-     * @param slots how many requests it runs at once
-     * @param own how many requests this VM already has there
+     * @param server the backend server
+     * @param slots the number of requests that it runs concurrently
+     * @param own the number of requests that this VM already has there
      * @param force whether to count the request even if no slot is free
-     * @return the answer, empty if the keeper gave none in time
+     * @return the reservation, empty if there is no keeper or it did not reply in time
      */
     public CompletableFuture<Optional<SlotLedger.Reservation>> reserve(
             final BackendServerId server, final int slots, final int own, final boolean force) {
@@ -91,17 +90,17 @@
     }
 
     /**
-     * Tells the keeper how many requests this VM has at a server.
+     * Reports to the keeper how many requests this VM has at a backend server.
      *
-     * @param server the server
-     * @param own the count
+     * @param server the backend server
+     * @param own the number of requests
      */
     public void changed(final BackendServerId server, final int own) {
         report(Map.of(server, own));
     }
 
     /**
-     * Drops the counts of a VM that is gone.
+     * Removes the counts of a VM that is no longer a member.
      *
      * @param vm the VM
      */
@@ -110,11 +109,11 @@
     }
 
     /**
-     * Takes a message if it is about slots.
+     * Handles a message if it is a slot request or a load report.
      *
      * @param message the message
-     * @param reply sends the answer
-     * @return false if the message belongs to someone else
+     * @param reply sends the reply to the sender
+     * @return false if the message is of another kind
      */
     public boolean handle(final Envelope message, final Consumer<Envelope.Builder> reply) {
         final VmId sender = VmId.of(message.getSender());
--- a/fennelstage-router/src/main/java/org/fennelstage/control/RolloutKeeper.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/control/RolloutKeeper.java
@@ -28,22 +28,23 @@
 import org.fennelstage.rollout.Signal;
 
 /**
- * One data centre's part of one roll-out: adds up what its VMs find, draws the data centre's share
- * of exposure from the progress object, and hands it out one request at a time.
+ * Runs one rollout for one data centre: adds up the evidence of its VMs, reserves exposures for the
+ * data centre in the progress object, and grants them to VMs one request at a time.
  *
- * <p>Invariants: no more is handed out than the object grants this data centre; without the object
- * API what is left of the grant is all there is; a halt found on the evidence at hand is reported
- * even if it cannot be written. Thread-safe; one monitor guards all state.
+ * <p>Invariants: no more exposures are granted than the progress object reserves for this data
+ * centre; while the store is unavailable only the rest of that reservation is granted; a halt that
+ * follows from the evidence is reported even if it cannot be written. Thread-safe; one monitor
+ * guards all state.
  */
 public final class RolloutKeeper {
 
-    /** Reports of all VMs arrive within this after a VM takes the duty over. */
-    private static final Duration TAKE_OVER = Duration.ofSeconds(3);
+    /** Time within which all VMs report to a VM that takes over the duty. */
+    private static final Duration TAKEOVER_PERIOD = Duration.ofSeconds(3);
 
-    /** A share handed out but not reported as used after this was not used. */
-    private static final Duration UNREPORTED = Duration.ofSeconds(5);
+    /** Time after which a granted exposure that was not reported counts as unused. */
+    private static final Duration GRANT_EXPIRY = Duration.ofSeconds(5);
 
-    private static final int LEAST_WANTED = 5;
+    private static final int MIN_WANTED = 5;
 
     private final Rollout rollout;
     private final DataCentreId dataCentre;
@@ -51,24 +52,24 @@
     private final InstantSource clock;
     private final ExposurePolicy policy;
     private final double ratedShare;
-    private final long sinceMillis;
-    private final Map<String, Evidence> bySource = new HashMap<>();
-    private final Deque<Long> handedMillis = new ArrayDeque<>();
+    private final long startedMillis;
+    private final Map<String, Evidence> evidenceBySource = new HashMap<>();
+    private final Deque<Long> grantedAtMillis = new ArrayDeque<>();
     private RolloutProgress progress = RolloutProgress.begin();
     private Revision revision = Revision.NONE;
-    private Optional<Signal> heardHalt = Optional.empty();
+    private Optional<Signal> externalHalt = Optional.empty();
     private Optional<DriftDetector> drift = Optional.empty();
-    private boolean isRead;
+    private boolean isLoaded;
     private boolean busy;
 
     /**
-     * Creates a keeper that has read nothing yet.
+     * Creates a keeper that has not read the progress object yet.
      *
-     * @param rollout the roll-out
-     * @param dataCentre the data centre it keeps it for
-     * @param store the object API
+     * @param rollout the rollout
+     * @param dataCentre the data centre of the keeper
+     * @param store the store
      * @param clock the clock
-     * @param policy how much a candidate may get
+     * @param policy limits the exposures of the new version
      * @param ratedShare the share of answers that are rated, in (0, 1]
      */
     public RolloutKeeper(
@@ -84,74 +85,77 @@
         this.clock = Objects.requireNonNull(clock, "clock is null");
         this.policy = Objects.requireNonNull(policy, "policy is null");
         this.ratedShare = ratedShare;
-        this.sinceMillis = clock.millis();
+        this.startedMillis = clock.millis();
     }
 
     /**
-     * Takes the running totals of one VM's incarnation.
+     * Records the cumulative evidence of one incarnation of a VM.
      *
      * @param source the VM and its incarnation
-     * @param totals the totals
+     * @param totals the cumulative evidence
      */
     public synchronized void report(final String source, final Evidence totals) {
-        bySource.merge(source, totals, Evidence::max);
+        evidenceBySource.merge(source, totals, Evidence::max);
     }
 
     /**
-     * Hands out one exposure if there is one left.
+     * Grants one exposure if one is left.
      *
-     * @return the answer to the VM
+     * @return the grant and the state of the rollout
      */
     public synchronized Share request() {
         final RolloutProgress judged = judged();
-        final boolean settled = clock.millis() - sinceMillis >= TAKE_OVER.toMillis();
-        final boolean grants =
-                settled
-                        && isRead
+        final boolean isTakeoverComplete =
+                clock.millis() - startedMillis >= TAKEOVER_PERIOD.toMillis();
+        final boolean isGranted =
+                isTakeoverComplete
+                        && isLoaded
                         && judged.halted().isEmpty()
                         && !judged.done()
                         && used() < progress.granted(dataCentre);
-        if (grants) {
-            handedMillis.add(clock.millis());
+        if (isGranted) {
+            grantedAtMillis.add(clock.millis());
         }
-        return new Share(grants, judged.step(), judged.halted().isPresent(), judged.done());
+        return new Share(isGranted, judged.step(), judged.halted().isPresent(), judged.done());
     }
 
     /**
-     * Returns the progress on all evidence at hand, written or not.
+     * Returns the progress computed from all known evidence, whether written to the store or not.
      *
      * @return the progress
      */
     public synchronized RolloutProgress judged() {
         final RolloutProgress judged =
-                progress.report(dataCentre, found(), rollout, policy, ratedShare);
-        return heardHalt.map(judged::halt).orElse(judged);
+                progress.report(dataCentre, totalEvidence(), rollout, policy, ratedShare);
+        return externalHalt.map(judged::halt).orElse(judged);
     }
 
     /**
-     * Looks whether a candidate that has passed turns bad; called about once a second. The data
-     * centre judges by its own answers alone, so that it needs nobody to find out.
+     * Checks whether the new version degrades after its rollout is done; called about once a
+     * second. Uses only the evidence of this data centre and does not depend on the store.
      */
     public synchronized void watch() {
-        if (!progress.done() || clock.millis() - sinceMillis < TAKE_OVER.toMillis()) {
+        if (!progress.done() || clock.millis() - startedMillis < TAKEOVER_PERIOD.toMillis()) {
             return;
         }
         if (drift.isEmpty()) {
             drift =
                     Optional.of(
                             DriftDetector.of(
-                                    rollout.tolerance(), DriftDetector.DEFAULT_ALPHA, found()));
+                                    rollout.tolerance(),
+                                    DriftDetector.DEFAULT_ALPHA,
+                                    totalEvidence()));
             return;
         }
-        drift.get().update(found()).ifPresent(this::halt);
+        drift.get().update(totalEvidence()).ifPresent(this::halt);
     }
 
-    /** Notes that the candidate was found bad elsewhere. */
+    /** Records a halt that was found elsewhere. */
     synchronized void halt(final Signal signal) {
-        heardHalt = Optional.of(signal);
+        externalHalt = Optional.of(signal);
     }
 
-    /** Reads the object and writes what is new; called about once a second. */
+    /** Reads the progress object and writes new progress; called about once a second. */
     public void tick() {
         synchronized (this) {
             if (busy) {
@@ -162,10 +166,11 @@
         store.read(Keys.rollout(rollout.id()), CallPriority.NORMAL)
                 .thenAccept(
                         result -> {
-                            if (result instanceof ReadResult.Found found && adopt(found.object())) {
+                            if (result instanceof ReadResult.Found found
+                                    && update(found.object())) {
                                 write();
                             } else {
-                                idle();
+                                clearBusy();
                             }
                         });
     }
@@ -176,7 +181,7 @@
         synchronized (this) {
             final RolloutProgress judged = judged();
             final long remaining = judged.granted(dataCentre) - used();
-            final long wanted = Math.max(LEAST_WANTED, 2L * recentlyHanded());
+            final long wanted = Math.max(MIN_WANTED, 2L * recentlyGranted());
             next =
                     remaining >= wanted
                             ? judged
@@ -193,25 +198,25 @@
                             if (result instanceof WriteResult.Written written) {
                                 install(next, written.revision());
                             } else if (result instanceof WriteResult.Conflict conflict) {
-                                adopt(conflict.current());
+                                update(conflict.current());
                             }
-                            idle();
+                            clearBusy();
                         });
     }
 
-    private synchronized void idle() {
+    private synchronized void clearBusy() {
         busy = false;
     }
 
-    private synchronized boolean adopt(final StoredObject object) {
-        if (!isRead || object.revision().isAfter(revision)) {
+    private synchronized boolean update(final StoredObject object) {
+        if (!isLoaded || object.revision().isAfter(revision)) {
             try {
                 if (object.value().isPresent()) {
                     install(
                             Json.read(object.value().get(), RolloutProgress.class),
                             object.revision());
                 } else {
-                    isRead = true;
+                    isLoaded = true;
                 }
             } catch (final MalformedValueException e) {
                 EventLog.write(Event.CONFIGURATION_MALFORMED, "key", object.key());
@@ -227,11 +232,11 @@
         }
         progress = next;
         revision = at;
-        isRead = true;
+        isLoaded = true;
     }
 
-    private Evidence found() {
-        return bySource.values().stream().reduce(Evidence.none(), Evidence::plus);
+    private Evidence totalEvidence() {
+        return evidenceBySource.values().stream().reduce(Evidence.none(), Evidence::plus);
     }
 
     private long used() {
@@ -239,14 +244,14 @@
                 Optional.ofNullable(progress.evidence().get(dataCentre))
                         .map(Evidence::exposed)
                         .orElse(0L);
-        return Math.max(stored, found().exposed()) + recentlyHanded();
+        return Math.max(stored, totalEvidence().exposed()) + recentlyGranted();
     }
 
-    private int recentlyHanded() {
-        final long oldest = clock.millis() - UNREPORTED.toMillis();
-        while (!handedMillis.isEmpty() && handedMillis.peekFirst() < oldest) {
-            handedMillis.removeFirst();
+    private int recentlyGranted() {
+        final long oldest = clock.millis() - GRANT_EXPIRY.toMillis();
+        while (!grantedAtMillis.isEmpty() && grantedAtMillis.peekFirst() < oldest) {
+            grantedAtMillis.removeFirst();
         }
-        return handedMillis.size();
+        return grantedAtMillis.size();
     }
 }
--- a/fennelstage-router/src/main/java/org/fennelstage/control/Rollouts.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/control/Rollouts.java
@@ -34,11 +34,11 @@
 import org.fennelstage.rollout.Signal;
 
 /**
- * The roll-outs as this VM takes part in them: asks the keeper of its data centre before each
- * exposure, tells it what it found, and is the keeper where that is its duty.
+ * This VM's part in rollouts: requests each exposure from the keeper of its data centre, reports
+ * evidence to it, and is the keeper where that is its duty.
  *
- * <p>Invariants: a candidate gets a request only against a granted share; a halt is never
- * forgotten. Thread-safe; one monitor guards the own evidence and the table of keepers.
+ * <p>Invariants: a new version gets a request only for a granted exposure; a halt is never undone.
+ * Thread-safe; one monitor guards all mutable state.
  */
 public final class Rollouts implements VersionChooser.Progress {
 
@@ -54,22 +54,22 @@
     private final InstantSource clock;
     private final ExposurePolicy policy;
     private final double ratedShare;
-    private final Map<RolloutId, Evidence> own = new HashMap<>();
-    private final Map<RolloutId, Sent> sent = new HashMap<>();
+    private final Map<RolloutId, Evidence> ownEvidence = new HashMap<>();
+    private final Map<RolloutId, SentReport> lastReports = new HashMap<>();
     private final Map<RolloutId, RolloutKeeper> keepers = new HashMap<>();
     private final Map<RolloutId, Integer> steps = new HashMap<>();
     private final Set<RolloutId> done = new HashSet<>();
 
-    private record Sent(Evidence evidence, VmId to) {}
+    private record SentReport(Evidence evidence, VmId to) {}
 
     /**
-     * What roll-outs work with.
+     * The collaborators of the rollouts.
      *
-     * @param configuration what is in force
-     * @param duties reaches the keepers
-     * @param group spreads halts
-     * @param halts the halted roll-outs
-     * @param store the object API
+     * @param configuration returns the current configuration
+     * @param duties determines the keepers and sends messages to them
+     * @param group publishes halts to peers
+     * @param halts the halted rollouts
+     * @param store the store
      */
     public record Surroundings(
             Supplier<Configuration> configuration,
@@ -79,12 +79,12 @@
             ObjectStore store) {}
 
     /**
-     * Creates roll-outs.
+     * Creates the rollouts of this VM.
      *
-     * @param surroundings what they work with
-     * @param timer runs reports
+     * @param surroundings the collaborators
+     * @param timer schedules reports
      * @param clock the clock
-     * @param policy how much a candidate may get
+     * @param policy limits the exposures of a new version
      * @param ratedShare the share of answers that are rated, in (0, 1]
      */
     public Rollouts(
@@ -104,7 +104,7 @@
         this.ratedShare = ratedShare;
     }
 
-    /** Begins to report and to keep. */
+    /** Starts periodic reports and the duties of a keeper. */
     public void start() {
         final long period = PERIOD.toMillis();
         timer.scheduleWithFixedDelay(this::tick, period, period, TimeUnit.MILLISECONDS);
@@ -123,9 +123,9 @@
     }
 
     /**
-     * Returns the share of new work that the candidate may get at the present step.
+     * Returns the share of new requests that the new version may get at the current step.
      *
-     * @param rollout the roll-out
+     * @param rollout the rollout
      * @return the share, in (0, 1]
      */
     public double share(final Rollout rollout) {
@@ -137,10 +137,10 @@
     }
 
     /**
-     * Asks for one exposure.
+     * Requests one exposure.
      *
-     * @param rollout the roll-out
-     * @return the answer; {@link Share#NONE} if the keeper does not answer soon
+     * @param rollout the rollout
+     * @return the reply; {@link Share#NONE} if the keeper does not reply in time
      */
     public CompletableFuture<Share> request(final Rollout rollout) {
         final Optional<VmId> holder = duties.holder(duty(rollout.id()));
@@ -149,7 +149,7 @@
         }
         if (holder.get().equals(duties.self())) {
             final Share share = keeper(rollout).request();
-            learn(rollout, share);
+            recordShare(rollout, share);
             return CompletableFuture.completedFuture(share);
         }
         final Envelope.Builder body =
@@ -160,37 +160,37 @@
                 .thenApply(reply -> reply.map(e -> decode(e.getShareReply())).orElse(Share.NONE))
                 .thenApply(
                         share -> {
-                            learn(rollout, share);
+                            recordShare(rollout, share);
                             return share;
                         });
     }
 
     /**
-     * Notes that one request went to the candidate.
+     * Records that one request was sent to the new version.
      *
-     * @param rollout the roll-out
+     * @param rollout the rollout
      */
     public void exposed(final RolloutId rollout) {
-        change(rollout, Evidence::plusExposed);
+        updateEvidence(rollout, Evidence::plusExposed);
     }
 
     /**
-     * Notes one judgement of an answer of the candidate.
+     * Records one judgement of an answer of the new version.
      *
-     * @param rollout the roll-out
-     * @param signal what was judged
+     * @param rollout the rollout
+     * @param signal the judged property
      * @param isBad whether it was bad
      */
     public void judged(final RolloutId rollout, final Signal signal, final boolean isBad) {
-        change(rollout, e -> e.plus(signal, isBad));
+        updateEvidence(rollout, e -> e.plus(signal, isBad));
     }
 
     /**
-     * Takes a message if it is about roll-outs.
+     * Handles a message if it is about rollouts.
      *
      * @param message the message
-     * @param reply sends the answer
-     * @return false if the message belongs to someone else
+     * @param reply sends the reply to the sender
+     * @return false if the message is of another kind
      */
     public boolean handle(final Envelope message, final Consumer<Envelope.Builder> reply) {
         switch (message.getBodyCase()) {
@@ -234,7 +234,7 @@
             halt(rollout, progress.halted().get());
         }
         if (progress.done()) {
-            learn(rollout, new Share(false, progress.step(), false, true));
+            recordShare(rollout, new Share(false, progress.step(), false, true));
         }
         keeper.tick();
     }
@@ -257,12 +257,12 @@
         final Evidence evidence;
         final Optional<VmId> holder = duties.holder(duty(rollout.id()));
         synchronized (this) {
-            evidence = own.get(rollout.id());
+            evidence = ownEvidence.get(rollout.id());
             if (evidence == null || holder.isEmpty()) {
                 return;
             }
-            final Sent next = new Sent(evidence, holder.get());
-            if (next.equals(sent.put(rollout.id(), next))) {
+            final SentReport next = new SentReport(evidence, holder.get());
+            if (next.equals(lastReports.put(rollout.id(), next))) {
                 return;
             }
         }
@@ -309,7 +309,7 @@
                                 rollout, duties.dataCentre(), store, clock, policy, ratedShare));
     }
 
-    private void learn(final Rollout rollout, final Share share) {
+    private void recordShare(final Rollout rollout, final Share share) {
         final boolean isNewlyDone;
         synchronized (this) {
             steps.merge(rollout.id(), share.step(), Math::max);
@@ -320,9 +320,10 @@
         }
     }
 
-    private synchronized void change(
+    private synchronized void updateEvidence(
             final RolloutId rollout, final UnaryOperator<Evidence> operator) {
-        own.merge(rollout, operator.apply(Evidence.none()), (held, first) -> operator.apply(held));
+        ownEvidence.merge(
+                rollout, operator.apply(Evidence.none()), (held, first) -> operator.apply(held));
     }
 
     private static String duty(final RolloutId id) {
--- a/fennelstage-router/src/main/java/org/fennelstage/control/StatusReporter.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/control/StatusReporter.java
@@ -26,17 +26,18 @@
 import org.fennelstage.peer.generated.VmStatus;
 
 /**
- * Tells operators which VM has which configuration in force: each VM tells the reporter of its data
- * centre after a change, and the reporter writes one object at most once a second.
+ * Reports to operators which configuration each VM applies. Each VM sends its status to the
+ * reporter of its data centre after a change, and the reporter writes one object at most once a
+ * second.
  *
- * <p>So the writes grow with changes and data centres, not with VMs. Thread-safe; one monitor
- * guards the table of states.
+ * <p>The number of writes grows with changes and data centres, not with VMs. Thread-safe; one
+ * monitor guards all mutable state.
  */
 public final class StatusReporter {
 
     private static final String DUTY = "status";
     private static final Duration PERIOD = Duration.ofSeconds(1);
-    private static final Duration REPEAT = Duration.ofSeconds(30);
+    private static final Duration RESEND_PERIOD = Duration.ofSeconds(30);
 
     private final Duties duties;
     private final MemberTable members;
@@ -56,13 +57,13 @@
     /**
      * Creates a reporter.
      *
-     * @param duties reaches the reporter of the data centre
-     * @param members the VMs
-     * @param configuration what is in force
-     * @param store the object API
-     * @param timer runs reports
+     * @param duties determines the reporter of the data centre and sends messages to it
+     * @param members the known VMs
+     * @param configuration the configuration of this VM
+     * @param store the store
+     * @param timer schedules reports
      * @param clock the clock
-     * @param ready whether this VM takes callers
+     * @param ready whether this VM accepts requests
      */
     public StatusReporter(
             final Duties duties,
@@ -81,39 +82,41 @@
         this.ready = Objects.requireNonNull(ready, "ready is null");
     }
 
-    /** Begins to report. */
+    /** Starts periodic reports. */
     public void start() {
         final long period = PERIOD.toMillis();
         timer.scheduleWithFixedDelay(this::tick, period, period, TimeUnit.MILLISECONDS);
     }
 
-    /** Tells the reporter at once; used after a change. */
+    /**
+     * Sends the status to the reporter without waiting for the next period; called after a change.
+     */
     public void changed() {
-        timer.execute(this::tell);
+        timer.execute(this::sendStatus);
     }
 
     /**
-     * Takes a message if it is a report.
+     * Handles a message if it is a status report.
      *
      * @param message the message
-     * @return false if the message belongs to someone else
+     * @return false if the message is of another kind
      */
     public boolean handle(final Envelope message) {
         if (message.getBodyCase() != Envelope.BodyCase.VM_STATUS) {
             return false;
         }
-        note(VmId.of(message.getSender()), message.getVmStatus());
+        recordStatus(VmId.of(message.getSender()), message.getVmStatus());
         return true;
     }
 
     private void tick() {
-        tell();
+        sendStatus();
         if (duties.isMine(DUTY)) {
             write();
         }
     }
 
-    private void tell() {
+    private void sendStatus() {
         final Digest digest = configuration.digest();
         final VmStatus status =
                 VmStatus.newBuilder()
@@ -124,8 +127,8 @@
                         .build();
         final Optional<VmId> reporter = duties.holder(DUTY);
         synchronized (this) {
-            final boolean isOld = clock.millis() - lastSentMillis >= REPEAT.toMillis();
-            if (status.equals(lastSent) && reporter.equals(lastReporter) && !isOld) {
+            final boolean isResendDue = clock.millis() - lastSentMillis >= RESEND_PERIOD.toMillis();
+            if (status.equals(lastSent) && reporter.equals(lastReporter) && !isResendDue) {
                 return;
             }
             lastSent = status;
@@ -133,13 +136,13 @@
             lastSentMillis = clock.millis();
         }
         if (duties.isMine(DUTY)) {
-            note(duties.self(), status);
+            recordStatus(duties.self(), status);
         } else {
             reporter.ifPresent(vm -> duties.send(vm, Envelope.newBuilder().setVmStatus(status)));
         }
     }
 
-    private synchronized void note(final VmId vm, final VmStatus status) {
+    private synchronized void recordStatus(final VmId vm, final VmStatus status) {
         states.put(
                 vm,
                 new VmReport.VmState(
@@ -188,17 +191,17 @@
                 continue;
             }
             final VmReport.VmState state = known.get(member.id());
-            final String belief = member.state().name().toLowerCase(java.util.Locale.ROOT);
+            final String memberState = member.state().name().toLowerCase(java.util.Locale.ROOT);
             current.put(
                     member.id(),
                     state == null
-                            ? new VmReport.VmState(0, "", member.incarnation(), false, belief)
+                            ? new VmReport.VmState(0, "", member.incarnation(), false, memberState)
                             : new VmReport.VmState(
                                     state.revision(),
                                     state.hash(),
                                     state.incarnation(),
                                     state.ready(),
-                                    belief));
+                                    memberState));
         }
         return current;
     }
--- a/fennelstage-router/src/main/java/org/fennelstage/control/package-info.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/control/package-info.java
@@ -1,8 +1,9 @@
 /**
- * The duties that entry VMs share out among themselves: watching the configuration, keeping claims
- * and bills, and running roll-outs.
+ * Duties assigned to individual VMs of a data centre: watching the configuration, writing claims
+ * and bills, and running rollouts.
  *
- * <p>Lock order: the tables of these classes are monitors of their own. No method holds one while
- * it calls another class, the object API or a peer; futures are completed outside of all monitors.
+ * <p>Locking: each class guards its state with its own monitor. No method calls another class of
+ * this package, the store or a peer while it holds a monitor; futures are completed outside of all
+ * monitors.
  */
 package org.fennelstage.control;
--- a/fennelstage-router/src/test/java/org/fennelstage/control/ClaimKeeperTest.java
+++ b/fennelstage-router/src/test/java/org/fennelstage/control/ClaimKeeperTest.java
@@ -23,20 +23,19 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The real keepers over an object API that loses answers, serves stale reads, delays and fails, in
- * generated interleavings. The same invariants as in spec/claims.als: a key runs at most once, and
- * "not run" is true.
+ * Runs keepers against a store with injected faults in generated interleavings, and checks the
+ * invariants of spec/claims.als: a key runs at most once, and a released attempt never runs.
  */
 class ClaimKeeperTest {
 
-    private static final Duration PATIENCE = Duration.ofSeconds(2);
+    private static final Duration TIMEOUT = Duration.ofSeconds(2);
     private static final int KEYS = 3;
 
-    /** One attempt of a caller: asks, and runs if it hears "made" before it gives up. */
+    /** One request for a key: it runs if its claim is made before it gives up. */
     private static final class Attempt {
         private final RequestId id;
         private final String key;
-        private CompletableFuture<ClaimAnswer> answer;
+        private CompletableFuture<ClaimAnswer> future;
         private boolean gaveUp;
         private boolean ran;
 
@@ -45,8 +44,8 @@
             this.key = "key-" + key;
         }
 
-        void look() {
-            final boolean isMade = answer.isDone() && answer.join() instanceof ClaimAnswer.Made;
+        void observe() {
+            final boolean isMade = future.isDone() && future.join() instanceof ClaimAnswer.Made;
             if (!gaveUp && isMade) {
                 ran = true;
             }
@@ -55,39 +54,35 @@
 
     @Property(seed = "61", tries = 400)
     void aKeyRunsAtMostOnceInEveryInterleavingOfFaults(@ForAll final long seed) {
-        final Run run = new Run(seed);
-        run.play(120);
-        run.settle();
-        run.assertInvariants();
+        final Scenario scenario = new Scenario(seed);
+        scenario.performSteps(120);
+        scenario.completePending();
+        scenario.assertInvariants();
     }
 
-    /**
-     * With a capacity of 200 the log seals segments on the way; the invariants must hold over it.
-     */
+    /** The invariants hold across sealed segments. */
     @Property(seed = "62", tries = 5)
     void manyKeysOverSealedSegmentsRunAtMostOnce(@ForAll final long seed) {
-        final Run run = new Run(seed);
-        run.playManyKeys(2 * ClaimSegment.CAPACITY + 50);
-        run.settle();
-        run.assertInvariants();
+        final Scenario scenario = new Scenario(seed);
+        scenario.performManyKeys(2 * ClaimSegment.CAPACITY + 50);
+        scenario.completePending();
+        scenario.assertInvariants();
     }
 
     /**
-     * Symptom: a VM writes no bills any more, and its calls to the object API are used up. Events:
-     * the object API is restored from an older copy, so that the keeper's revisions are ahead of
-     * it; a claim comes. Cause: the keeper tried the same conditional update again and again at
-     * once.
+     * Guards against an endless loop of conditional writes when the store was restored from an
+     * older copy and the keeper's cached revision is ahead of it.
      */
     @Test
     void aKeeperWhoseStoreWasRestoredFromAnOlderCopyReadsItAnewInsteadOfLooping() {
         final FaultyStore before = new FaultyStore(new Random(1));
         final FaultyStore after = new FaultyStore(new Random(1));
-        before.heal();
-        after.heal();
+        before.disableFaults();
+        after.disableFaults();
         final SwitchingStore store = new SwitchingStore(before);
         final ManualScheduler timer = new ManualScheduler(Instant.ofEpochMilli(1_000_000));
         final ClaimKeeper keeper =
-                new ClaimKeeper(store, timer, timer, new SplittableRandom(1), PATIENCE);
+                new ClaimKeeper(store, timer, timer, new SplittableRandom(1), TIMEOUT);
         final CompletableFuture<ClaimAnswer> first = keeper.submit(0, held("first"));
         drain(before, timer);
         assertThat(first.join()).isInstanceOf(ClaimAnswer.Made.class);
@@ -112,14 +107,14 @@
         }
     }
 
-    private static final class Run {
+    private static final class Scenario {
         private final Random random;
         private final FaultyStore store;
         private final ManualScheduler timer = new ManualScheduler(Instant.ofEpochMilli(1_000_000));
         private final List<ClaimKeeper> keepers = new ArrayList<>();
         private final List<Attempt> attempts = new ArrayList<>();
 
-        Run(final long seed) {
+        Scenario(final long seed) {
             random = new Random(seed);
             store = new FaultyStore(random);
             for (int i = 0; i < 2; i++) {
@@ -127,43 +122,43 @@
             }
         }
 
-        void play(final int steps) {
+        void performSteps(final int steps) {
             for (int i = 0; i < steps; i++) {
                 final int choice = random.nextInt(10);
                 if (choice < 2 && attempts.size() < 12) {
-                    ask(random.nextInt(KEYS));
+                    takeClaim(random.nextInt(KEYS));
                 } else if (choice == 2 && !attempts.isEmpty()) {
                     giveUp(attempts.get(random.nextInt(attempts.size())));
                 } else if (choice == 3) {
                     timer.advance(Duration.ofMillis(random.nextInt(400)));
                 } else if (choice == 4 && random.nextInt(10) == 0) {
-                    // A VM is replaced: its keeper's memory is gone.
+                    // A VM is replaced and its keeper's cache is lost.
                     final int index = random.nextInt(keepers.size());
                     keepers.set(index, keeper(100 + i));
                 } else {
                     store.step();
                 }
-                attempts.forEach(Attempt::look);
+                attempts.forEach(Attempt::observe);
             }
         }
 
-        void playManyKeys(final int keys) {
+        void performManyKeys(final int keys) {
             for (int key = 0; key < keys; key++) {
-                ask(key);
-                ask(key);
+                takeClaim(key);
+                takeClaim(key);
                 for (int i = 0; i < 4; i++) {
                     store.step();
                 }
-                attempts.forEach(Attempt::look);
+                attempts.forEach(Attempt::observe);
             }
         }
 
-        void settle() {
-            store.heal();
+        void completePending() {
+            store.disableFaults();
             for (int i = 0; i < 4000 && (store.hasPending() || timer.hasPending()); i++) {
                 store.step();
                 timer.advance(Duration.ofMillis(50));
-                attempts.forEach(Attempt::look);
+                attempts.forEach(Attempt::observe);
             }
         }
 
@@ -171,7 +166,7 @@
             final Map<String, Integer> runs = new HashMap<>();
             final Set<RequestId> ran = new HashSet<>();
             for (final Attempt attempt : attempts) {
-                assertThat(attempt.answer).isDone();
+                assertThat(attempt.future).isDone();
                 if (attempt.ran) {
                     runs.merge(attempt.key, 1, Integer::sum);
                     ran.add(attempt.id);
@@ -183,9 +178,9 @@
                     .forEach(a -> assertThat(ran).doesNotContain(a.id));
         }
 
-        private void ask(final int key) {
+        private void takeClaim(final int key) {
             final Attempt attempt = new Attempt(attempts.size(), key);
-            attempt.answer = submit(attempt, Claim.State.HELD);
+            attempt.future = submit(attempt, Claim.State.HELD);
             attempts.add(attempt);
         }
 
@@ -204,7 +199,7 @@
         }
 
         private ClaimKeeper keeper(final int seed) {
-            return new ClaimKeeper(store, timer, timer, new SplittableRandom(seed), PATIENCE);
+            return new ClaimKeeper(store, timer, timer, new SplittableRandom(seed), TIMEOUT);
         }
     }
 }
--- a/fennelstage-router/src/test/java/org/fennelstage/control/FaultyStore.java
+++ b/fennelstage-router/src/test/java/org/fennelstage/control/FaultyStore.java
@@ -18,12 +18,12 @@
 import org.fennelstage.objects.WriteResult;
 
 /**
- * An object API whose calls take effect when a test says so, in any order, with answers lost, late
- * effects after the answer "unknown", refusals and stale reads. Not thread-safe.
+ * A store whose calls take effect only in {@link #step}, in random order, with lost results, writes
+ * that take effect after an unknown result, rejections and stale reads. Not thread-safe.
  */
 final class FaultyStore implements ObjectStore {
 
-    private final MemoryObjectStore truth = MemoryObjectStore.empty();
+    private final MemoryObjectStore backing = MemoryObjectStore.empty();
     private final Map<ObjectKey, List<StoredObject>> history = new HashMap<>();
     private final List<Runnable> pending = new ArrayList<>();
     private final Random random;
@@ -39,7 +39,7 @@
         }
     }
 
-    void heal() {
+    void disableFaults() {
         healthy = true;
     }
 
@@ -47,22 +47,22 @@
         return !pending.isEmpty();
     }
 
-    MemoryObjectStore truth() {
-        return truth;
+    MemoryObjectStore backing() {
+        return backing;
     }
 
     @Override
     public CompletableFuture<ReadResult> read(final ObjectKey key, final CallPriority priority) {
-        final CompletableFuture<ReadResult> answer = new CompletableFuture<>();
+        final CompletableFuture<ReadResult> future = new CompletableFuture<>();
         pending.add(
                 () -> {
-                    if (strikes(4)) {
-                        answer.complete(new ReadResult.Unavailable("down"));
+                    if (injectsFault(4)) {
+                        future.complete(new ReadResult.Unavailable("down"));
                     } else {
-                        answer.complete(new ReadResult.Found(perhapsStale(key)));
+                        future.complete(new ReadResult.Found(possiblyStale(key)));
                     }
                 });
-        return answer;
+        return future;
     }
 
     @Override
@@ -71,9 +71,9 @@
             final Revision expected,
             final byte[] value,
             final CallPriority priority) {
-        final CompletableFuture<WriteResult> answer = new CompletableFuture<>();
-        pending.add(() -> perform(key, expected, value, answer));
-        return answer;
+        final CompletableFuture<WriteResult> future = new CompletableFuture<>();
+        pending.add(() -> perform(key, expected, value, future));
+        return future;
     }
 
     @Override
@@ -88,58 +88,58 @@
             final Revision since,
             final Duration wait,
             final CallPriority priority) {
-        final CompletableFuture<ChangesResult> answer = new CompletableFuture<>();
+        final CompletableFuture<ChangesResult> future = new CompletableFuture<>();
         pending.add(
                 () -> {
-                    if (strikes(4)) {
-                        answer.complete(new ChangesResult.Unavailable("down"));
+                    if (injectsFault(4)) {
+                        future.complete(new ChangesResult.Unavailable("down"));
                         return;
                     }
                     final ChangesResult.Changed now =
                             (ChangesResult.Changed)
-                                    truth.changes(prefix, since, Duration.ZERO, priority).join();
+                                    backing.changes(prefix, since, Duration.ZERO, priority).join();
                     final List<StoredObject> seen =
-                            now.objects().stream().map(o -> perhapsStale(o.key())).toList();
-                    answer.complete(new ChangesResult.Changed(seen, now.upTo()));
+                            now.objects().stream().map(o -> possiblyStale(o.key())).toList();
+                    future.complete(new ChangesResult.Changed(seen, now.upTo()));
                 });
-        return answer;
+        return future;
     }
 
     private void perform(
             final ObjectKey key,
             final Revision expected,
             final byte[] value,
-            final CompletableFuture<WriteResult> answer) {
-        if (strikes(6)) {
-            answer.complete(new WriteResult.NotWritten("refused"));
-        } else if (strikes(5)) {
-            // The caller hears "unknown" now, and the write takes effect later, or never.
+            final CompletableFuture<WriteResult> future) {
+        if (injectsFault(6)) {
+            future.complete(new WriteResult.NotWritten("refused"));
+        } else if (injectsFault(5)) {
+            // The result is unknown now, and the write takes effect later or never.
             if (random.nextBoolean()) {
                 pending.add(() -> put(key, expected, value));
             }
-            answer.complete(new WriteResult.Unknown("lost"));
+            future.complete(new WriteResult.Unknown("lost"));
         } else {
             final WriteResult result = put(key, expected, value);
-            answer.complete(strikes(4) ? new WriteResult.Unknown("lost") : result);
+            future.complete(injectsFault(4) ? new WriteResult.Unknown("lost") : result);
         }
     }
 
     private WriteResult put(final ObjectKey key, final Revision expected, final byte[] value) {
-        final WriteResult result = truth.write(key, expected, value, CallPriority.NORMAL).join();
+        final WriteResult result = backing.write(key, expected, value, CallPriority.NORMAL).join();
         if (result instanceof WriteResult.Written) {
-            history.computeIfAbsent(key, k -> new ArrayList<>()).add(truth.current(key));
+            history.computeIfAbsent(key, k -> new ArrayList<>()).add(backing.current(key));
         }
         return result;
     }
 
-    private StoredObject perhapsStale(final ObjectKey key) {
+    private StoredObject possiblyStale(final ObjectKey key) {
         final List<StoredObject> all = history.getOrDefault(key, List.of());
-        return all.isEmpty() || !strikes(3)
-                ? truth.current(key)
+        return all.isEmpty() || !injectsFault(3)
+                ? backing.current(key)
                 : all.get(random.nextInt(all.size()));
     }
 
-    private boolean strikes(final int oneIn) {
+    private boolean injectsFault(final int oneIn) {
         return !healthy && random.nextInt(oneIn) == 0;
     }
 }
--- a/fennelstage-router/src/test/java/org/fennelstage/control/ManualScheduler.java
+++ b/fennelstage-router/src/test/java/org/fennelstage/control/ManualScheduler.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 
-/** A clock and scheduler that a test moves by hand. Not thread-safe. */
+/** A clock and scheduler whose time advances only in {@link #advance}. Not thread-safe. */
 final class ManualScheduler extends AbstractExecutorService
         implements ScheduledExecutorService, InstantSource {
 
--- a/fennelstage-router/src/test/java/org/fennelstage/control/SwitchingStore.java
+++ b/fennelstage-router/src/test/java/org/fennelstage/control/SwitchingStore.java
@@ -10,7 +10,7 @@
 import org.fennelstage.objects.ReadResult;
 import org.fennelstage.objects.WriteResult;
 
-/** Passes calls on to a store that a test can replace, and counts writes. Not thread-safe. */
+/** Delegates calls to a store that a test can replace, and counts writes. Not thread-safe. */
 final class SwitchingStore implements ObjectStore {
 
     private ObjectStore current;
