--- a/fennelstage-router/src/main/java/org/fennelstage/control/BillWriter.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/control/BillWriter.java
@@ -69,8 +69,7 @@
         }
         if (result instanceof WriteResult.Conflict conflict) {
             // An earlier write took effect although its result was unknown. The caller still holds
-            // its
-            // bills and appends them again; readers count each request id once.
+            // its bills, and the next append includes them again.
             revision = conflict.current().revision();
         }
         return false;
--- a/fennelstage-router/src/main/java/org/fennelstage/control/Bills.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/control/Bills.java
@@ -197,8 +197,7 @@
 
     private CompletableFuture<Void> writeAlone(final Bill bill) {
         // No other VM holds the bill, so this VM writes it to the store itself. The response waits
-        // for
-        // the write for a limited time; if the store is unavailable too, it is sent nevertheless.
+        // for the write for a limited time; if the store is unavailable too, it is sent anyway.
         synchronized (this) {
             ownBills.remove(bill.request());
             heldBills.put(bill.request(), new HeldBill(bill, duties.self()));
--- a/fennelstage-router/src/main/java/org/fennelstage/control/ClaimKeeper.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/control/ClaimKeeper.java
@@ -268,8 +268,7 @@
                 onConflict(conflict.current());
             } else {
                 // The write may have taken effect although its result is unknown. The changes are
-                // queued
-                // again and completed from the segment that is read back.
+                // queued again and completed from the segment that is read back.
                 readBack(segment.number());
             }
         }
@@ -280,9 +279,8 @@
                 return;
             }
             // The store rejects the cached revision and returns an older one: it was restored from
-            // an
-            // older copy. An immediate retry would loop and use up this VM's calls, so the cache is
-            // dropped and reloaded after a delay.
+            // an older copy. An immediate retry would loop and use up this VM's calls, so the cache
+            // is dropped and reloaded after a delay.
             synchronized (this) {
                 log = null;
                 revision = Revision.NONE;
@@ -344,7 +342,7 @@
                             w.future()
                                     .complete(
                                             new ClaimAnswer.Unavailable(
-                                                    "the store did not confirm the change in time")));
+                                                    "the store did not confirm in time")));
         }
 
         private void scheduleStep() {
--- a/fennelstage-router/src/main/java/org/fennelstage/control/Claims.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/control/Claims.java
@@ -62,7 +62,7 @@
         this.timer = Objects.requireNonNull(timer, "timer is null");
         this.clock = Objects.requireNonNull(clock, "clock is null");
         this.slots = slots;
-        this.timeout = Objects.requireNonNull(timeout, "wait is null");
+        this.timeout = Objects.requireNonNull(timeout, "timeout is null");
     }
 
     /**
--- a/fennelstage-router/src/main/java/org/fennelstage/control/ConfigurationWatcher.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/control/ConfigurationWatcher.java
@@ -104,8 +104,7 @@
             backoff.reset();
             group.publish(changed.objects());
             // A store that was restored from an older copy continues from an older revision. The
-            // watch
-            // follows it to receive its changes; the table keeps its newer objects.
+            // watch follows it to receive its changes; the table keeps its newer objects.
             since = changed.upTo();
             if (isUnavailable) {
                 isUnavailable = false;
--- a/fennelstage-router/src/test/java/org/fennelstage/control/ClaimKeeperTest.java
+++ b/fennelstage-router/src/test/java/org/fennelstage/control/ClaimKeeperTest.java
@@ -74,7 +74,7 @@
      * older copy and the keeper's cached revision is ahead of it.
      */
     @Test
-    void aKeeperWhoseStoreWasRestoredFromAnOlderCopyReadsItAnewInsteadOfLooping() {
+    void keeperReloadsTheLogAfterTheStoreWasRestoredFromAnOlderCopy() {
         final FaultyStore before = new FaultyStore(new Random(1));
         final FaultyStore after = new FaultyStore(new Random(1));
         before.disableFaults();
