--- a/fennelstage-router/src/main/java/org/fennelstage/settings/Settings.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/settings/Settings.java
@@ -10,20 +10,20 @@
 import org.fennelstage.id.VmId;
 
 /**
- * All settings of one entry VM.
+ * All settings of one VM.
  *
  * <p>Immutable and thread-safe.
  *
- * @param vm who and where it is
- * @param listen its addresses
- * @param platform how it reaches the platform
- * @param seeds peer addresses to begin with
- * @param limits bounds on callers
- * @param claims how claims are made
- * @param rating how answers are rated
- * @param tls keys and certificates
- * @param log the form of the log
- * @param drain the longest time a graceful stop waits for requests in flight
+ * @param vm the identity and the data centre of the VM
+ * @param listen the addresses on which the VM listens
+ * @param platform the connection to the object API of the platform
+ * @param seeds the peer addresses that the VM contacts at its start
+ * @param limits the limits on requests and connections of callers
+ * @param claims the settings of claims
+ * @param rating the settings of the rating of answers
+ * @param tls the keys and certificates
+ * @param log the format and the level of the log
+ * @param drain the longest time that a graceful stop waits for requests in flight
  */
 public record Settings(
         Vm vm,
@@ -43,15 +43,15 @@
     }
 
     /**
-     * Who and where the VM is.
+     * Identity and data centre of the VM.
      *
-     * @param id the VM
+     * @param id the name of the VM
      * @param dataCentre its data centre
      */
     public record Vm(VmId id, DataCentreId dataCentre) {}
 
     /**
-     * Where the VM listens; port 0 takes any free one.
+     * Addresses on which the VM listens; port 0 selects any free port.
      *
      * @param host the IP address for callers and peers
      * @param port the port for callers
@@ -62,63 +62,65 @@
     public record Listen(String host, int port, String adminHost, int adminPort, int peerPort) {}
 
     /**
-     * How the VM reaches the platform.
+     * Connection to the object API of the platform.
      *
-     * @param objects the object API
-     * @param callsPerSecond the most calls in the long run
-     * @param burst the most calls at once
-     * @param timeout the longest wait for an answer
+     * @param objects the address of the object API
+     * @param callsPerSecond the sustained rate limit, in calls per second
+     * @param burst the number of calls that may exceed the sustained rate at once
+     * @param timeout the longest wait for the response to a call
      */
     public record Platform(
             InetSocketAddress objects, double callsPerSecond, double burst, Duration timeout) {}
 
     /**
-     * Bounds on what a caller may take.
+     * Limits on requests and connections of callers.
      *
-     * @param maxHeaderBytes the largest header block
-     * @param maxBodyBytes the largest body
-     * @param idle how long a connection may stay silent
+     * @param maxHeaderBytes the largest header block, in bytes
+     * @param maxBodyBytes the largest request body, in bytes
+     * @param idle the timeout of inactivity of a connection
      */
     public record Limits(int maxHeaderBytes, int maxBodyBytes, Duration idle) {}
 
     /**
-     * How claims are made.
+     * Settings of claims.
      *
-     * @param slots the number of claim logs; the same on all VMs, for ever
-     * @param patience the longest wait for a claim before the request is refused
+     * @param slots the number of claim logs; must be the same on all VMs and must never change
+     * @param patience the longest wait for a claim before the request is rejected
      */
     public record Claims(int slots, Duration patience) {}
 
     /**
-     * How answers are rated.
+     * Settings of the rating of answers.
      *
-     * @param address the rating service, empty if there is none
+     * @param address the address of the rating service, empty if there is none
      * @param share the share of answers sent to it, in [0, 1]
      */
     public record Rating(Optional<InetSocketAddress> address, double share) {}
 
     /**
-     * Keys and certificates, as PEM files.
+     * Keys and certificates in PEM files.
      *
-     * @param callers for callers, empty for plain HTTP
-     * @param peers for other VMs, empty for plain TCP
+     * @param callers the files for connections of callers, empty for plain HTTP
+     * @param peers the files for connections between VMs, empty for plain TCP
      */
     public record Tls(Optional<KeyFiles> callers, Optional<KeyFiles> peers) {}
 
     /**
-     * A certificate with its key and the authority that peers must have.
+     * A certificate, its private key and the authority that must have signed the certificate of the
+     * other side.
      *
      * @param certificate the certificate chain
-     * @param key the private key in PKCS 8
-     * @param authority the certificate of the authority, empty if the other side needs none
+     * @param key the private key, in PKCS #8
+     * @param authority the certificate of the authority, empty if the other side needs no
+     *     certificate
      */
     public record KeyFiles(Path certificate, Path key, Optional<Path> authority) {}
 
     /**
-     * The form of the log.
+     * Format and level of the log.
      *
-     * @param json whether lines are JSON objects
-     * @param level the least level that is written
+     * @param json true if each line is a JSON object
+     * @param level the lowest level that is written
      */
     public record Log(boolean json, String level) {}
 }
--- a/fennelstage-router/src/main/java/org/fennelstage/settings/SettingsFile.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/settings/SettingsFile.java
@@ -10,7 +10,7 @@
 import org.fennelstage.ini.IniException;
 import org.fennelstage.ini.IniFile;
 
-/** Reads settings from an INI file. Not thread-safe; one instance reads one file. */
+/** Reads {@link Settings} from an INI file. Not thread-safe; each instance reads one file. */
 public final class SettingsFile {
 
     private static final String TLS = "tls";
@@ -23,23 +23,24 @@
     }
 
     /**
-     * Reads a file.
+     * Reads settings from a file.
      *
-     * @param path the file
+     * @param path the INI file
      * @return the settings
-     * @throws IniException if the file cannot be read or has mistakes; all are listed
+     * @throws IniException if the file cannot be read or has mistakes; the exception lists all of
+     *     them
      */
     public static Settings read(final Path path) throws IniException {
         return new SettingsFile(IniFile.read(path)).settings();
     }
 
     /**
-     * Reads a text.
+     * Reads settings from a reader.
      *
-     * @param name its name for messages
-     * @param reader the text
+     * @param name the name of the text in error messages
+     * @param reader the text in INI format
      * @return the settings
-     * @throws IniException if the text has mistakes; all are listed
+     * @throws IniException if the text has mistakes; the exception lists all of them
      */
     public static Settings read(final String name, final Reader reader) throws IniException {
         return new SettingsFile(IniFile.read(name, reader)).settings();
@@ -133,7 +134,7 @@
             return Optional.empty();
         }
         if (!Files.isReadable(Path.of(text))) {
-            throw new IllegalArgumentException("not a readable file");
+            throw new IllegalArgumentException("not a readable file: " + text);
         }
         return Optional.of(Path.of(text));
     }
--- a/fennelstage-router/src/main/java/org/fennelstage/settings/package-info.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/settings/package-info.java
@@ -1,2 +1,2 @@
-/** What a VM is told at its start: INI settings, checked as a whole before anything runs. */
+/** Settings of a VM: read from an INI file and validated completely before the VM starts. */
 package org.fennelstage.settings;
--- a/fennelstage-router/src/test/java/org/fennelstage/settings/SettingsFileTest.java
+++ b/fennelstage-router/src/test/java/org/fennelstage/settings/SettingsFileTest.java
@@ -10,19 +10,19 @@
 
 class SettingsFileTest {
 
-    private static final String LEAST =
+    private static final String MINIMAL =
             "[vm]\nid = vm-1\ndata_centre = lx-a\n[platform]\nobjects = 127.0.0.1:7000\n";
 
     @Test
     void readFillsInDefaults() throws IniException {
-        final Settings settings = SettingsFile.read("a.ini", new StringReader(LEAST));
+        final Settings settings = SettingsFile.read("a.ini", new StringReader(MINIMAL));
         assertThat(settings.listen().port()).isEqualTo(8080);
         assertThat(settings.drain()).isEqualTo(Duration.ofSeconds(30));
         assertThat(settings.seeds()).isEmpty();
     }
 
     @Test
-    void readListsEveryMistakeWithFileSectionKeyAndWhatIsAllowed() {
+    void readListsEveryMistakeWithFileSectionKeyAndAllowedValues() {
         final IniException e =
                 catchThrowableOfType(
                         IniException.class,
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void readRefusesAHostName() {
+    void readRejectsAHostName() {
         final IniException e =
                 catchThrowableOfType(
                         IniException.class,
@@ -54,12 +54,12 @@
                                 SettingsFile.read(
                                         "a.ini",
                                         new StringReader(
-                                                LEAST.replace("127.0.0.1", "objects.example"))));
+                                                MINIMAL.replace("127.0.0.1", "objects.example"))));
         assertThat(e.mistakes()).singleElement().asString().contains("allowed is IP:PORT");
     }
 
     @Test
-    void readRefusesACertificateWithoutItsKey() {
+    void readRejectsACertificateWithoutItsKey() {
         final IniException e =
                 catchThrowableOfType(
                         IniException.class,
@@ -67,7 +67,8 @@
                                 SettingsFile.read(
                                         "a.ini",
                                         new StringReader(
-                                                LEAST + "[tls]\npeers_certificate = /dev/null\n")));
+                                                MINIMAL
+                                                        + "[tls]\npeers_certificate = /dev/null\n")));
         assertThat(e.mistakes()).singleElement().asString().contains("go together");
     }
 }
