--- a/fennelstage-router/src/main/java/org/fennelstage/main/Main.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/main/Main.java
@@ -21,7 +21,7 @@
 
 /**
  * The {@code fennelstage} program: {@code trial}, {@code run} and {@code check}. Exit codes: 0
- * done, 1 refused, 2 usage.
+ * success, 1 invalid settings or failed start, 2 usage. Stateless and thread-safe.
  */
 public final class Main {
 
--- a/fennelstage-router/src/main/java/org/fennelstage/main/RouterNode.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/main/RouterNode.java
@@ -52,10 +52,10 @@
 import org.fennelstage.settings.Settings;
 
 /**
- * One entry VM: its tables, its duties and its servers, from start to graceful stop.
+ * One VM: its tables, its duties and its HTTP servers, from start to graceful stop.
  *
- * <p>Lock order: every shared table has one monitor, and no method holds one while it calls another
- * table, a peer or the object API; so there is no order to keep. Thread-safe.
+ * <p>Lock order: every shared table has one monitor, and no method holds a monitor while it calls
+ * another table, a peer or the object API; so no order is needed. Thread-safe.
  */
 public final class RouterNode implements AutoCloseable {
 
@@ -88,13 +88,13 @@
     private volatile boolean begun;
 
     /**
-     * What a node may be given instead of what it would make itself.
+     * Dependencies of a VM that tests and trials can replace.
      *
-     * @param store the object API, empty to reach the one in the settings
+     * @param store the object API, empty to connect to the address in the settings
      * @param clock the clock
-     * @param reachability which peers may be connected to
-     * @param timing how often VMs talk to each other
-     * @param policy how much a candidate may get
+     * @param reachability the peers to which connections are permitted
+     * @param timing the intervals and timeouts of peer messages
+     * @param policy the limits on requests to the new version during a rollout
      * @param threads the number of event loops
      */
     public record Environment(
@@ -106,7 +106,7 @@
             int threads) {
 
         /**
-         * Returns the environment of a VM in service.
+         * Returns the environment for production.
          *
          * @return the environment
          */
@@ -223,10 +223,10 @@
     /**
      * Starts a VM.
      *
-     * @param settings its settings
-     * @param environment what it is given
+     * @param settings the settings of the VM
+     * @param environment the dependencies of the VM
      * @return the running VM; it is ready once it has a configuration
-     * @throws IOException if an address cannot be bound or a key file not be read
+     * @throws IOException if an address cannot be bound or a key file cannot be read
      */
     public static RouterNode start(final Settings settings, final Environment environment)
             throws IOException {
@@ -248,9 +248,9 @@
     }
 
     /**
-     * Tells whether the VM takes callers.
+     * Returns whether the VM accepts requests from callers.
      *
-     * @return true while it has a configuration and does not stop
+     * @return true if the VM has a configuration and is not draining
      */
     public boolean isReady() {
         return !draining && !configuration.digest().equals(Digest.EMPTY);
@@ -277,8 +277,8 @@
     }
 
     /**
-     * Stops without cutting a request: refuses new ones, lets those in flight end, brings bills to
-     * safety, and closes, at the latest after the settings' bound.
+     * Stops gracefully: rejects new requests, waits for requests in flight for at most the drain
+     * time in the settings, stores or hands over bills, and closes.
      */
     public void stop() {
         EventLog.write(Event.DRAINING, "vm", settings.vm().id(), "in_flight", router.inFlight());
@@ -305,7 +305,7 @@
         EventLog.write(Event.STOPPED, "vm", settings.vm().id());
     }
 
-    /** Stops at once, as if the VM had died. */
+    /** Stops immediately, without draining, as in a crash. */
     @Override
     public void close() {
         watcher.close();
@@ -385,8 +385,8 @@
 
     private void onMessage(final Envelope message, final Consumer<Envelope.Builder> reply) {
         if (!begun) {
-            // Peers may connect before this VM's parts are all there. They get no answer and ask
-            // again, as they would a moment earlier.
+            // Peers may connect before all parts of this VM are initialized. They get no reply and
+            // send the message again.
             return;
         }
         final boolean taken =
@@ -436,8 +436,8 @@
         public void onConfiguration(final List<StoredObject> changed) {
             final boolean wasReady = isReady();
             synchronized (this) {
-                // Built under a lock so that a slower builder of an older table cannot put its
-                // result over a newer one: a withdrawn version would seem to serve again.
+                // Built under a lock, so that a slow thread cannot replace a newer configuration
+                // with an older one, which would make a withdrawn version available again.
                 final Declarations.Decoded decoded = Declarations.decodeAll(table);
                 decoded.malformed()
                         .forEach(m -> EventLog.write(Event.CONFIGURATION_MALFORMED, "detail", m));
--- a/fennelstage-router/src/main/java/org/fennelstage/main/ServeCommand.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/main/ServeCommand.java
@@ -9,7 +9,10 @@
 import org.fennelstage.vm.SettingsException;
 import org.fennelstage.vm.VmProcess;
 
-/** {@code fennelstage serve}: one VM on the users' platform, until SIGTERM. Stateless. */
+/**
+ * {@code fennelstage serve}: one VM on the users' platform, until SIGTERM. Stateless and
+ * thread-safe.
+ */
 final class ServeCommand {
 
     private ServeCommand() {}
--- a/fennelstage-router/src/main/java/org/fennelstage/main/TlsContexts.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/main/TlsContexts.java
@@ -13,10 +13,10 @@
 import org.fennelstage.settings.Settings;
 
 /**
- * The TLS contexts made from one set of key files, made again when the files change.
+ * TLS contexts built from one set of key files and rebuilt when the files change.
  *
- * <p>Invariant: files that cannot be read leave the contexts in use as they are, so a rotation that
- * stops halfway cuts nobody off. Thread-safe.
+ * <p>Invariant: if the files cannot be read, the contexts in use stay in place, so an incomplete
+ * key rotation interrupts no connections. Thread-safe.
  */
 final class TlsContexts {
 
@@ -32,7 +32,7 @@
     /**
      * Reads the files.
      *
-     * @param files the files
+     * @param files the certificate, the key and the authority
      * @return the contexts
      * @throws IOException if they cannot be read
      */
@@ -50,7 +50,7 @@
         return Optional.of(loaded.get().client());
     }
 
-    /** Reads the files again if they changed. */
+    /** Reads the files again if the modification time of the certificate or the key changed. */
     void refresh() {
         try {
             if (stamp() == loaded.get().stamp()) {
--- a/fennelstage-router/src/main/java/org/fennelstage/main/Trial.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/main/Trial.java
@@ -39,8 +39,8 @@
 import org.fennelstage.team.Team;
 
 /**
- * One process on loopback with everything a first request needs: an object API in memory, engines
- * of two models with two versions each, a plain service, a rating service and two teams.
+ * A complete local setup in one process on loopback: an object API in memory, engines of two models
+ * with two versions each, a plain service, a rating service and two teams.
  *
  * <p>Thread-safe.
  */
@@ -114,7 +114,7 @@
             try {
                 standIn.close();
             } catch (final Exception e) {
-                System.err.println("stand-in did not close: " + e.getMessage());
+                System.err.println("cannot close a stand-in: " + e.getMessage());
             }
         }
         store.close();
@@ -125,7 +125,7 @@
         final long deadline = System.nanoTime() + Duration.ofSeconds(10).toNanos();
         while (!node.isReady()) {
             if (System.nanoTime() > deadline) {
-                throw new IOException("the trial did not become ready");
+                throw new IOException("the trial did not become ready within 10 s");
             }
             Thread.onSpinWait();
         }
--- a/fennelstage-router/src/main/java/org/fennelstage/main/package-info.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/main/package-info.java
@@ -1,2 +1,2 @@
-/** The {@code fennelstage} program: one entry VM, checks of its settings, and trials. */
+/** The {@code fennelstage} program: runs a VM, validates its settings, and runs trials. */
 package org.fennelstage.main;
--- a/fennelstage-router/src/test/java/org/fennelstage/main/BadInputTest.java
+++ b/fennelstage-router/src/test/java/org/fennelstage/main/BadInputTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** Bad input gets a clear refusal; the connection stays usable or is closed. */
+/** Invalid input is rejected with an error; the connection stays usable or is closed. */
 class BadInputTest {
 
     private static final String HEAD =
--- a/fennelstage-router/src/test/java/org/fennelstage/main/Fleet.java
+++ b/fennelstage-router/src/test/java/org/fennelstage/main/Fleet.java
@@ -60,9 +60,9 @@
 import org.fennelstage.team.Team;
 
 /**
- * Real VMs of several data centres in one process over loopback, with stand-ins for all else and
- * faults on demand. Each data centre reaches the one object store through an API of its own, so
- * that it can be cut off alone.
+ * VMs of several data centres in one process over loopback, with stand-ins for external services
+ * and injected faults. Each data centre has its own API to the shared object store, so that it can
+ * be cut off separately. Not thread-safe.
  */
 final class Fleet implements AutoCloseable {
 
@@ -74,7 +74,7 @@
     private static final String HOST = "127.0.0.1";
     static final PeerTiming TIMING =
             new PeerTiming(Duration.ofMillis(200), Duration.ofMillis(100), Duration.ofMillis(600));
-    private static final Duration PATIENCE = Duration.ofSeconds(20);
+    private static final Duration MAX_WAIT = Duration.ofSeconds(20);
 
     private final EventLoopGroup group = new NioEventLoopGroup(4);
     private final MemoryObjectStore store = MemoryObjectStore.empty();
@@ -91,7 +91,7 @@
     private final int perDataCentre;
     private final PeerTiming timing;
 
-    /** What a caller got. */
+    /** Response that a caller received. */
     record Answer(int status, Map<String, List<String>> headers, String body) {
         String outcome() {
             return headers.getOrDefault("x-outcome", List.of("none")).get(0);
@@ -144,10 +144,10 @@
     }
 
     static void await(final String what, final BooleanSupplier condition) {
-        final long deadline = System.nanoTime() + PATIENCE.toNanos();
+        final long deadline = System.nanoTime() + MAX_WAIT.toNanos();
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > deadline) {
-                throw new AssertionError("waited in vain for: " + what);
+                throw new AssertionError("timed out waiting for: " + what);
             }
             try {
                 Thread.sleep(5);
@@ -187,7 +187,7 @@
         dataCentreOfPort.put(node.peerPort(), dc);
     }
 
-    /** Ends a VM at once, with all that it has in memory. */
+    /** Stops a VM immediately; its state in memory is lost. */
     void kill(final int index) {
         nodes.get(index).close();
     }
@@ -197,7 +197,7 @@
         cuts.add(List.of(Math.min(left, right), Math.max(left, right)));
     }
 
-    void mend() {
+    void removeCuts() {
         cuts.clear();
     }
 
@@ -278,7 +278,7 @@
         return executions().stream().filter(e -> e.version().equals(version.toString())).count();
     }
 
-    /** All bills stored, with copies. */
+    /** All stored bills, including duplicates. */
     List<Bill> bills() {
         final List<Bill> bills = new ArrayList<>();
         for (final StoredObject object : list(Keys.BILLS)) {
--- a/fennelstage-router/src/test/java/org/fennelstage/main/FleetBillsTest.java
+++ b/fennelstage-router/src/test/java/org/fennelstage/main/FleetBillsTest.java
@@ -12,7 +12,7 @@
 import org.fennelstage.standin.VersionBehaviour;
 import org.junit.jupiter.api.Test;
 
-/** Each complete request is billed once, through deaths, outages and lost answers. */
+/** Each complete request is billed once, despite crashes, outages and lost responses. */
 class FleetBillsTest {
 
     @Test
@@ -20,7 +20,7 @@
         try (Fleet fleet = new Fleet(2, 3)) {
             fleet.platform(0, new ObjectApiFaults(false, 0, 0.6, 0));
             final Set<String> complete = new HashSet<>();
-            // Several rounds, so that keepers write on top of segments whose answers were lost.
+            // Several rounds, so that keepers overwrite segments whose write responses were lost.
             for (int round = 0; round < 4; round++) {
                 complete.addAll(run(fleet, 18, 6));
                 Fleet.await("all bills", () -> fleet.billed().containsAll(complete));
@@ -29,11 +29,7 @@
         }
     }
 
-    /**
-     * Symptom: an answer that was delivered is never billed. Events: the platform is down; a VM
-     * answers callers and dies before its bills are written; the platform comes back. Cause: the
-     * bill was in one memory only.
-     */
+    /** Guards against bills lost with the memory of a crashed VM during an outage. */
     @Test
     void theBillsOfADeadVmAreWrittenByTheirKeeper() throws IOException {
         try (Fleet fleet = new Fleet(1, 3)) {
@@ -48,10 +44,7 @@
         }
     }
 
-    /**
-     * Symptom: a bill is lost although its VM lives. Events: the platform is down; the keeper of
-     * the bills dies; the platform comes back. Cause: nobody told the next keeper.
-     */
+    /** Guards against bills lost when their keeper crashes during an outage. */
     @Test
     void theBillsOfADeadKeeperAreSentToTheNext() throws IOException {
         try (Fleet fleet = new Fleet(1, 3)) {
@@ -76,10 +69,7 @@
         }
     }
 
-    /**
-     * Symptom: a stop loses bills or cuts an answer. Events: the platform is down while a VM with
-     * requests in flight is told to stop.
-     */
+    /** Guards against lost bills and cut responses in a graceful stop during an outage. */
     @Test
     void aGracefulStopCutsNoAnswerAndLosesNoBillWithThePlatformDown() throws IOException {
         try (Fleet fleet = new Fleet(1, 3)) {
@@ -104,11 +94,7 @@
         }
     }
 
-    /**
-     * Symptom: bills are lost although every VM but one was stopped with care. Events: the platform
-     * is down; a VM dies after its answers; the keeper of its bills is stopped. Cause: the keeper
-     * had the only copies left and took them along.
-     */
+    /** Guards against a keeper that stops with the only copies of bills. */
     @Test
     void aKeeperThatStopsHandsTheBillsOfADeadVmOn() throws IOException {
         try (Fleet fleet = new Fleet(1, 3)) {
@@ -127,10 +113,7 @@
         }
     }
 
-    /**
-     * Symptom: a stop cuts long answers. Events: a VM is told to stop during an answer of a second
-     * or more, with no bill to wait for.
-     */
+    /** Guards against a graceful stop that cuts a long response. */
     @Test
     void aGracefulStopWaitsForALongAnswer() throws IOException {
         final VersionBehaviour slow = new VersionBehaviour(Fleet.GOOD, 0.9, 0, 0, 300, 1);
--- a/fennelstage-router/src/test/java/org/fennelstage/main/FleetCascadeTest.java
+++ b/fennelstage-router/src/test/java/org/fennelstage/main/FleetCascadeTest.java
@@ -6,10 +6,10 @@
 import org.fennelstage.bill.Bill;
 import org.junit.jupiter.api.Test;
 
-/** A profile with a cheap and a good model: good enough first, then cheap. */
+/** Cascade over a smaller and a larger model, from first requests to sufficient ratings. */
 class FleetCascadeTest {
 
-    /** Until ratings tell that the cheap model suffices, callers get the good one's answer. */
+    /** Guards against answers of the smaller model before ratings show that it is good enough. */
     @Test
     void whatIsNotKnownToBeGoodEnoughIsAnsweredByTheBestModelAndBilledOnce() throws IOException {
         try (Fleet fleet = fleet(0.9)) {
@@ -46,7 +46,7 @@
         }
     }
 
-    /** A cascade would run it on two models, and a session would change its version. */
+    /** Guards against a cascade within a session, which would change the version of the session. */
     @Test
     void aSessionIsAnsweredByOneModelOnly() throws IOException {
         try (Fleet fleet = fleet(0.9)) {
--- a/fennelstage-router/src/test/java/org/fennelstage/main/FleetClaimsTest.java
+++ b/fennelstage-router/src/test/java/org/fennelstage/main/FleetClaimsTest.java
@@ -12,16 +12,12 @@
 import org.fennelstage.standin.ObjectApiFaults;
 import org.junit.jupiter.api.Test;
 
-/** A non-idempotent request runs at most once, and "not run" is true, over many VMs and faults. */
+/** Non-idempotent requests run at most once, and "not run" is reported only if it is true. */
 class FleetClaimsTest {
 
     private static final String KEY_HEADER = "idempotency-key";
 
-    /**
-     * Symptom: a newsletter is sent twice. Events: the caller's first attempt times out, it sends
-     * the same key to other VMs, in other data centres, while the first is still running. Cause:
-     * each VM alone cannot know of the others' runs; the claim in the object API decides.
-     */
+    /** Guards against double runs of a key that is sent to several VMs concurrently. */
     @Test
     void aKeySentToAllVmsAtOnceRunsOnce() throws IOException {
         try (Fleet fleet = new Fleet(3, 2)) {
@@ -41,11 +37,7 @@
         }
     }
 
-    /**
-     * Symptom: a send runs twice, or a caller is told "not run" of one that ran. Events: the object
-     * API makes the claim but its answer is lost, so the writer does not know; the caller repeats.
-     * Cause: taking a lost answer for a failure, or for a success.
-     */
+    /** Guards against treating a lost response of the object API as a failure or a success. */
     @Test
     void lostAnswersOfTheObjectApiNeitherDoubleARunNorMakeNotRunUntrue() throws IOException {
         try (Fleet fleet = new Fleet(2, 2)) {
@@ -72,11 +64,7 @@
         }
     }
 
-    /**
-     * Symptom: during an outage of the platform sends run twice, or a caller that was told "not
-     * run" can never send again. Events: the object API is down; the VM cannot claim and refuses;
-     * the platform comes back and the caller repeats its key.
-     */
+    /** Guards against double runs in an outage, and keys that stay unusable after it. */
     @Test
     void withThePlatformDownARequestIsRefusedAsNotRunAndItsKeyWorksAfterwards() throws IOException {
         try (Fleet fleet = new Fleet(1, 3)) {
@@ -94,11 +82,7 @@
         }
     }
 
-    /**
-     * Symptom: a send runs twice after a VM died. Events: the VM that holds the claim dies while
-     * its request runs; the caller repeats the key at another VM. Cause: nobody can tell whether it
-     * ran, so the claim must outlive its holder.
-     */
+    /** Guards against a second run of a key after the VM that holds its claim crashes. */
     @Test
     void aClaimOutlivesItsHolder() throws IOException {
         try (Fleet fleet = new Fleet(1, 3)) {
--- a/fennelstage-router/src/test/java/org/fennelstage/main/FleetConfigurationTest.java
+++ b/fennelstage-router/src/test/java/org/fennelstage/main/FleetConfigurationTest.java
@@ -12,14 +12,10 @@
 import org.fennelstage.standin.ObjectApiFaults;
 import org.junit.jupiter.api.Test;
 
-/** Configuration reaches every VM that anybody can reach, and never goes back. */
+/** Configuration reaches every VM that the platform or a peer can reach, and never reverts. */
 class FleetConfigurationTest {
 
-    /**
-     * Symptom: a withdrawn version still serves in one data centre. Events: the data centre is cut
-     * off from the platform, not from the others; an operator withdraws a version. Cause: its VMs
-     * would hear of changes from the platform only.
-     */
+    /** Guards against changes that reach a data centre only through the platform. */
     @Test
     void aDataCentreCutOffFromThePlatformHearsOfAWithdrawalFromPeers() throws IOException {
         try (Fleet fleet = new Fleet(3, 3)) {
@@ -33,11 +29,7 @@
         }
     }
 
-    /**
-     * Symptom: a replaced VM stays useless for the length of a platform outage. Events: the
-     * platform is down; a VM is replaced and has an empty memory. Cause: it would wait for the
-     * platform.
-     */
+    /** Guards against a replaced VM that cannot become ready during a platform outage. */
     @Test
     void aFreshVmStartsFromPeersWhileThePlatformIsDown() throws IOException {
         try (Fleet fleet = new Fleet(2, 2)) {
@@ -52,10 +44,7 @@
         }
     }
 
-    /**
-     * Symptom: after a partition two data centres serve different configurations for good. Events:
-     * data centre 1 is cut off from platform and peers, misses a change, and comes back.
-     */
+    /** Guards against configurations that stay different after a network partition. */
     @Test
     void aDataCentreThatWasCutOffFromEverythingCatchesUp() throws IOException {
         try (Fleet fleet = new Fleet(2, 2)) {
@@ -72,15 +61,12 @@
                                     .acceptsNew());
             assertThat(fleet.chat(2, "draft").status()).isEqualTo(200);
 
-            fleet.mend();
+            fleet.removeCuts();
             Fleet.await("the withdrawal everywhere", () -> isWithdrawnEverywhere(fleet));
         }
     }
 
-    /**
-     * Symptom: changes take tens of seconds in a large data centre. Events: VMs hear of a change
-     * only when they happen to probe one that knows it. Here nobody probes within the hour.
-     */
+    /** Guards against changes that spread only with probes: no VM probes in this test. */
     @Test
     void aChangeIsPushedWithoutWaitingForAProbe() throws IOException {
         final PeerTiming neverProbes =
@@ -122,10 +108,7 @@
         }
     }
 
-    /**
-     * Symptom: an editor's session moves to another version in its middle. Events: the session's VM
-     * dies, the platform is down, the signing key was rotated, the version is draining.
-     */
+    /** Guards against a session that changes its version after faults and key rotation. */
     @Test
     void aSessionKeepsItsVersionOverVmDeathKeyRotationAndOutage() throws IOException {
         try (Fleet fleet = twoVersions()) {
--- a/fennelstage-router/src/test/java/org/fennelstage/main/FleetRetriesTest.java
+++ b/fennelstage-router/src/test/java/org/fennelstage/main/FleetRetriesTest.java
@@ -13,17 +13,13 @@
 import org.fennelstage.standin.ModelEngine;
 import org.junit.jupiter.api.Test;
 
-/** Retries of idempotent requests keep to what is true. */
+/** Outcomes reported for retried idempotent requests. */
 class FleetRetriesTest {
 
     private static final int DEAD_SERVERS = 30;
     private static final int REQUESTS = 300;
 
-    /**
-     * Symptom: a caller is told "not run" of a request that ran. Events: the first attempt runs and
-     * fails, it is retried at a server that cannot be reached, and the budget for retries is used
-     * up. Cause: the refusal spoke of the last attempt only.
-     */
+    /** Guards against reporting "not run" when an earlier attempt of the request ran. */
     @Test
     void aRequestOfWhichAnyAttemptRanIsNeverToldNotRun() throws IOException {
         try (Fleet fleet = new Fleet(1, 1, Fleet.behaviour(Fleet.GOOD, 0.9, 1))) {
--- a/fennelstage-router/src/test/java/org/fennelstage/main/FleetRolloutTest.java
+++ b/fennelstage-router/src/test/java/org/fennelstage/main/FleetRolloutTest.java
@@ -13,23 +13,20 @@
 import org.fennelstage.standin.ObjectApiFaults;
 import org.junit.jupiter.api.Test;
 
-/** A bad candidate is stopped early over the whole fleet; a good one gets through. */
+/** A bad new version is halted early on all VMs; a good one reaches all requests. */
 class FleetRolloutTest {
 
     private static final RolloutId ID = RolloutId.of("june");
-    private static final int MOST_EXPOSED = 50;
+    private static final int MAX_EXPOSED = 50;
 
-    /**
-     * Symptom: a version that fails every request reaches hundreds of callers, since each VM alone
-     * needs some before it knows. Cause: evidence and exposure were counted per VM.
-     */
+    /** Guards against evidence and exposure that are counted for each VM separately. */
     @Test
     void aCandidateThatFailsIsHaltedOnAllVmsWithFewExposed() throws IOException {
         try (Fleet fleet = fleet(0.9, 1)) {
             start(fleet);
             Fleet.await("the halt", () -> work(fleet) && isHaltedEverywhere(fleet));
             final long exposed = fleet.ranOn(Fleet.BAD);
-            assertThat(exposed).isBetween(1L, (long) MOST_EXPOSED);
+            assertThat(exposed).isBetween(1L, (long) MAX_EXPOSED);
 
             for (int i = 0; i < 30; i++) {
                 assertThat(fleet.chat(i % 9, "draft").status()).isEqualTo(200);
@@ -38,21 +35,17 @@
         }
     }
 
-    /** Answers that come in time but are rated poor must halt a roll-out as failures do. */
+    /** Guards against a rollout that continues although answers are rated poor. */
     @Test
     void aCandidateThatIsRatedPoorIsHalted() throws IOException {
         try (Fleet fleet = fleet(0.3, 0)) {
             start(fleet);
             Fleet.await("the halt", () -> work(fleet) && isHaltedEverywhere(fleet));
-            assertThat(fleet.ranOn(Fleet.BAD)).isBetween(1L, (long) MOST_EXPOSED);
+            assertThat(fleet.ranOn(Fleet.BAD)).isBetween(1L, (long) MAX_EXPOSED);
         }
     }
 
-    /**
-     * Symptom: during a platform outage a cut-off data centre goes on sending callers to an
-     * unproven version that nobody stops. Events: the platform goes down after a roll-out began;
-     * the halt is found in one data centre. Cause: the halt would travel through the platform.
-     */
+    /** Guards against a halt that spreads only through the platform. */
     @Test
     void aHaltSpreadsFromPeerToPeerWhileThePlatformIsDown() throws IOException {
         try (Fleet fleet = fleet(0.9, 1)) {
@@ -60,14 +53,11 @@
             Fleet.await("a first exposure", () -> work(fleet) && fleet.ranOn(Fleet.BAD) > 0);
             fleet.platformDown(true);
             Fleet.await("the halt", () -> work(fleet) && isHaltedEverywhere(fleet));
-            assertThat(fleet.ranOn(Fleet.BAD)).isLessThanOrEqualTo(MOST_EXPOSED);
+            assertThat(fleet.ranOn(Fleet.BAD)).isLessThanOrEqualTo(MAX_EXPOSED);
         }
     }
 
-    /**
-     * Symptom: a halt takes as long as probes happen to meet. Events: nobody probes within the
-     * hour, the platform is down, and only one data centre has traffic and so evidence.
-     */
+    /** Guards against a halt that spreads only with probes: no VM probes in this test. */
     @Test
     void aHaltIsPushedToDataCentresThatHaveNoEvidenceOfTheirOwn() throws IOException {
         final PeerTiming neverProbes =
@@ -84,11 +74,11 @@
                     "a first exposure", () -> workOn(fleet, 0, 1) && fleet.ranOn(Fleet.BAD) > 0);
             fleet.platformDown(true);
             Fleet.await("the halt", () -> workOn(fleet, 0, 1) && isHaltedEverywhere(fleet));
-            assertThat(fleet.ranOn(Fleet.BAD)).isLessThanOrEqualTo(MOST_EXPOSED);
+            assertThat(fleet.ranOn(Fleet.BAD)).isLessThanOrEqualTo(MAX_EXPOSED);
         }
     }
 
-    /** Without the platform nobody can share out exposure, so there is none. */
+    /** Guards against use of the new version where the platform cannot assign exposure. */
     @Test
     void aDataCentreCutOffBeforeARolloutBeganExposesNobody() throws IOException {
         try (Fleet fleet = fleet(0.9, 0)) {
@@ -97,7 +87,7 @@
             }
             start(fleet);
             Fleet.await(
-                    "the roll-out to be known in the cut-off data centre",
+                    "the rollout to be known in the cut-off data centre",
                     () -> !fleet.node(8).configuration().rollouts().isEmpty());
             for (int i = 0; i < 100; i++) {
                 final Fleet.Answer answer = fleet.chat(6 + i % 3, "draft");
@@ -121,11 +111,7 @@
         }
     }
 
-    /**
-     * Symptom: a version that served well yesterday fails every request today, and nobody stops it.
-     * Events: its roll-out is complete; then it turns bad. Cause: nobody judged its answers any
-     * more.
-     */
+    /** Guards against a version that is no longer observed after its rollout. */
     @Test
     void aVersionThatTurnsBadAfterItsRolloutGivesWayToTheProvenOne() throws IOException {
         try (Fleet fleet = fleet(0.95, 0)) {
@@ -148,7 +134,7 @@
                                         .contains("version=pero@v2 "));
     }
 
-    /** Requests that may fail, as they do until the halt. */
+    /** Sends requests without checking their status: they may fail until the halt. */
     private static boolean load(final Fleet fleet) {
         for (int node = 0; node < 9; node++) {
             fleet.chat(node, "draft");
--- a/fennelstage-router/src/test/java/org/fennelstage/main/TlsTest.java
+++ b/fennelstage-router/src/test/java/org/fennelstage/main/TlsTest.java
@@ -35,7 +35,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** TLS towards callers, mutual TLS between VMs, and keys that change under way. */
+/** TLS for callers, mutual TLS between VMs, and key rotation. */
 class TlsTest {
 
     private static final String HOST = "127.0.0.1";
@@ -77,7 +77,7 @@
         }
     }
 
-    /** A rotation that has written one of the two files must cut nobody off. */
+    /** Guards against an incomplete key rotation that interrupts connections. */
     @Test
     void changedKeysAreReadAgainAndUnreadableOnesLeaveTheOldInUse(@TempDir final Path directory)
             throws IOException {
@@ -160,7 +160,7 @@
                 .build();
     }
 
-    /** Trusts the test authority; certificates name VMs and not addresses. */
+    /** Trusts the certificate of vm-a directly. */
     private static HttpClient client() throws GeneralSecurityException, IOException {
         final KeyStore trusted = KeyStore.getInstance(KeyStore.getDefaultType());
         trusted.load(null, null);
