--- a/fennelstage-router/src/main/java/org/fennelstage/main/Main.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/main/Main.java
@@ -25,8 +25,8 @@
  */
 public final class Main {
 
-    private static final int DONE = 0;
-    private static final int REFUSED = 1;
+    private static final int SUCCESS = 0;
+    private static final int FAILED = 1;
     private static final int USAGE = 2;
     private static final String HELP =
             String.join(
@@ -48,7 +48,7 @@
      */
     public static void main(final String[] args) {
         final int code = run(args);
-        if (code != DONE) {
+        if (code != SUCCESS) {
             System.exit(code);
         }
     }
@@ -75,13 +75,13 @@
             return usage(e.getMessage());
         } catch (final IniException e) {
             e.mistakes().forEach(System.err::println);
-            return REFUSED;
+            return FAILED;
         } catch (final SettingsException e) {
             e.mistakes().forEach(System.err::println);
-            return REFUSED;
+            return FAILED;
         } catch (final IOException e) {
             System.err.println(e.getMessage() + cause(e));
-            return REFUSED;
+            return FAILED;
         }
     }
 
@@ -95,14 +95,14 @@
 
     private static int check(final Settings settings) {
         System.out.println("settings of " + settings.vm().id() + " are in order");
-        return DONE;
+        return SUCCESS;
     }
 
     private static int serve(final Settings settings) throws IOException {
         LogSetup.apply(settings.log().json(), settings.log().level());
         final RouterNode node = RouterNode.start(settings, RouterNode.Environment.standard());
         Runtime.getRuntime().addShutdownHook(new Thread(node::stop, "graceful-stop"));
-        return DONE;
+        return SUCCESS;
     }
 
     private static int serveOnPlatform(final CommandLine line)
@@ -117,7 +117,7 @@
                 Path.of(file),
                 port == null ? OptionalInt.empty() : OptionalInt.of(Integer.parseInt(port)),
                 policy(line.getOptionValue("without", "")));
-        return DONE;
+        return SUCCESS;
     }
 
     private static Policy policy(final String without) throws ParseException {
@@ -137,7 +137,7 @@
         System.out.print(trial.greeting());
         System.out.flush();
         Runtime.getRuntime().addShutdownHook(new Thread(trial::close, "graceful-stop"));
-        return DONE;
+        return SUCCESS;
     }
 
     private static int usage(final String problem) {
--- a/fennelstage-router/src/test/java/org/fennelstage/main/BadInputTest.java
+++ b/fennelstage-router/src/test/java/org/fennelstage/main/BadInputTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void malformedJsonIsRefusedAndTheConnectionStaysUsable() throws IOException {
+    void malformedJsonIsRejectedAndTheConnectionStaysUsable() throws IOException {
         final String bad = HEAD + "Content-Length: 3\r\n\r\n{a:";
         final String good =
                 "GET /v1/models HTTP/1.1\r\nHost: x\r\nConnection: close\r\nAuthorization: Bearer "
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void bothLengthAndTransferEncodingAreRefusedAndTheConnectionIsClosed() throws IOException {
+    void bothLengthAndTransferEncodingAreRejectedAndTheConnectionIsClosed() throws IOException {
         final String answer =
                 raw(
                         HEAD
@@ -51,13 +51,13 @@
     }
 
     @Test
-    void anOversizeBodyIsRefused() throws IOException {
+    void anOversizeBodyIsRejected() throws IOException {
         final String answer = raw(HEAD + "Content-Length: 10000000\r\n\r\n" + "x".repeat(1000));
         assertThat(answer).contains("413").contains("too_large");
     }
 
     @Test
-    void anOversizeHeaderIsRefused() throws IOException {
+    void anOversizeHeaderIsRejected() throws IOException {
         final String answer = raw(HEAD + "X-Long: " + "y".repeat(20_000) + "\r\n\r\n");
         assertThat(answer)
                 .contains("431 Request Header Fields Too Large")
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void aWrongKeyIsRefused() {
+    void aWrongKeyIsRejected() {
         final Fleet.Answer answer = fleet.send(0, "GET", "/v1/models", "", "x-unused", "1").join();
         assertThat(answer.status()).isEqualTo(200);
         assertThat(
@@ -77,14 +77,14 @@
     }
 
     @Test
-    void anUnknownProfileIsRefusedWithTheAllowedOnes() {
+    void anUnknownProfileIsRejectedWithTheAllowedOnes() {
         final Fleet.Answer answer = fleet.chat(0, "no-such");
         assertThat(answer.status()).isEqualTo(404);
         assertThat(answer.body()).contains("[digest, draft, send]");
     }
 
     @Test
-    void aFlippedSessionTokenIsRefused() {
+    void aFlippedSessionTokenIsRejected() {
         final String session = fleet.chat(0, "draft", "x-session", "new").session();
         final String flipped = session.substring(0, session.length() - 2) + "AA";
         final Fleet.Answer answer = fleet.chat(0, "draft", "x-session", flipped);
--- a/fennelstage-router/src/test/java/org/fennelstage/main/FleetBillsTest.java
+++ b/fennelstage-router/src/test/java/org/fennelstage/main/FleetBillsTest.java
@@ -103,7 +103,7 @@
             final int keeper = fleet.node(1).bills().waiting() > 0 ? 1 : 2;
             fleet.kill(0);
             Fleet.await(
-                    "the death to be known",
+                    "the crash to be known",
                     () -> fleet.node(keeper).members().dutyVms().size() == 2);
             fleet.node(keeper).stop();
             fleet.platformDown(false);
--- a/fennelstage-router/src/test/java/org/fennelstage/main/FleetClaimsTest.java
+++ b/fennelstage-router/src/test/java/org/fennelstage/main/FleetClaimsTest.java
@@ -66,7 +66,7 @@
 
     /** Guards against double runs in an outage, and keys that stay unusable after it. */
     @Test
-    void withThePlatformDownARequestIsRefusedAsNotRunAndItsKeyWorksAfterwards() throws IOException {
+    void withThePlatformDownARequestIsRejectedAsNotRunAndItsKeyWorksAfterwards() throws IOException {
         try (Fleet fleet = new Fleet(1, 3)) {
             fleet.platformDown(true);
             final Fleet.Answer refused = fleet.chat(0, "send", KEY_HEADER, "outage");
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void aNonIdempotentRequestWithoutAKeyIsRefused() throws IOException {
+    void aNonIdempotentRequestWithoutAKeyIsRejected() throws IOException {
         try (Fleet fleet = new Fleet(1, 1)) {
             final Fleet.Answer answer = fleet.chat(0, "send");
             assertThat(answer.status()).isEqualTo(400);
--- a/fennelstage-router/src/test/java/org/fennelstage/main/FleetConfigurationTest.java
+++ b/fennelstage-router/src/test/java/org/fennelstage/main/FleetConfigurationTest.java
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void aLeavingBackendServerGetsNoNewWork() throws IOException {
+    void aDrainingBackendServerGetsNoNewWork() throws IOException {
         try (Fleet fleet = new Fleet(1, 2)) {
             fleet.declare(
                     DeclarationKind.BACKEND_SERVER,
@@ -94,7 +94,7 @@
                             16,
                             true));
             Fleet.await(
-                    "the leaving server to be known",
+                    "the draining server to be known",
                     () ->
                             fleet.nodes().stream()
                                     .allMatch(
@@ -154,7 +154,7 @@
     }
 
     @Test
-    void aSessionOfAWithdrawnVersionIsRefusedAndNotMoved() throws IOException {
+    void aSessionOfAWithdrawnVersionIsRejectedAndNotMoved() throws IOException {
         try (Fleet fleet = twoVersions()) {
             final String session = fleet.chat(0, "draft", "x-session", "new").session();
             fleet.state(Fleet.GOOD, ModelVersion.State.WITHDRAWN);
