--- a/fennelstage-router/src/test/java/org/fennelstage/main/FleetClaimsTest.java
+++ b/fennelstage-router/src/test/java/org/fennelstage/main/FleetClaimsTest.java
@@ -66,7 +66,8 @@
 
     /** Guards against double runs in an outage, and keys that stay unusable after it. */
     @Test
-    void withThePlatformDownARequestIsRejectedAsNotRunAndItsKeyWorksAfterwards() throws IOException {
+    void withThePlatformDownARequestIsRejectedAsNotRunAndItsKeyWorksAfterwards()
+            throws IOException {
         try (Fleet fleet = new Fleet(1, 3)) {
             fleet.platformDown(true);
             final Fleet.Answer refused = fleet.chat(0, "send", KEY_HEADER, "outage");
