--- a/fennelstage-core/src/main/java/org/fennelstage/fleet/ServerHealth.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/fleet/ServerHealth.java
@@ -18,7 +18,7 @@
     /** The health of a backend server; earlier constants are preferred. */
     public enum Tier {
         /** Nothing indicates a failure. */
-        SOUND,
+        HEALTHY,
         /** Fails more often than others; used when no healthy backend server is left. */
         SUSPECT,
         /** Could not be reached; used only for probes, or when no other one is left. */
@@ -94,7 +94,7 @@
         final boolean reportedByPeer = clock.millis() < peerReportUntilMillis;
         final boolean suspect =
                 reportedByPeer || unconfirmed() || decayedExcessRate() >= SUSPECT_RATE;
-        return suspect ? Tier.SUSPECT : Tier.SOUND;
+        return suspect ? Tier.SUSPECT : Tier.HEALTHY;
     }
 
     /**
--- a/fennelstage-core/src/test/java/org/fennelstage/fleet/ServerHealthTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/fleet/ServerHealthTest.java
@@ -15,7 +15,7 @@
     @Test
     void twoConsecutiveFailuresMakeAServerSuspect() {
         health.onEnd(true, 0);
-        assertThat(health.tier()).isEqualTo(ServerHealth.Tier.SOUND);
+        assertThat(health.tier()).isEqualTo(ServerHealth.Tier.HEALTHY);
         health.onEnd(true, 0);
         assertThat(health.tier()).isEqualTo(ServerHealth.Tier.SUSPECT);
     }
@@ -25,7 +25,7 @@
         for (int i = 0; i < 100; i++) {
             health.onEnd(i % 7 == 0, 1.0 / 7);
         }
-        assertThat(health.tier()).isEqualTo(ServerHealth.Tier.SOUND);
+        assertThat(health.tier()).isEqualTo(ServerHealth.Tier.HEALTHY);
     }
 
     @Test
@@ -33,7 +33,7 @@
         health.onEnd(true, 0);
         health.onEnd(true, 0);
         now.addAndGet(3_000);
-        assertThat(health.tier()).isEqualTo(ServerHealth.Tier.SOUND);
+        assertThat(health.tier()).isEqualTo(ServerHealth.Tier.HEALTHY);
     }
 
     @Test
@@ -60,20 +60,20 @@
         final ServerHealth third = ServerHealth.of(now::get, dataCentre);
         health.onUnreachable();
         health.onUnreachable();
-        assertThat(third.tier()).isEqualTo(ServerHealth.Tier.SOUND);
+        assertThat(third.tier()).isEqualTo(ServerHealth.Tier.HEALTHY);
         other.onUnreachable();
         assertThat(third.tier()).isEqualTo(ServerHealth.Tier.UNREACHABLE);
         now.addAndGet(1_000);
         assertThat(third.tier()).isEqualTo(ServerHealth.Tier.SUSPECT);
         third.onBytesReceived();
-        assertThat(third.tier()).isEqualTo(ServerHealth.Tier.SOUND);
+        assertThat(third.tier()).isEqualTo(ServerHealth.Tier.HEALTHY);
     }
 
     @Test
     void receivedBytesEndThePause() {
         health.onUnreachable();
         health.onBytesReceived();
-        assertThat(health.tier()).isEqualTo(ServerHealth.Tier.SOUND);
+        assertThat(health.tier()).isEqualTo(ServerHealth.Tier.HEALTHY);
     }
 
     /** Guards against every VM losing a request to the same unreachable server. */
@@ -86,7 +86,7 @@
         now.addAndGet(2_999);
         assertThat(health.tier()).isEqualTo(ServerHealth.Tier.SUSPECT);
         now.addAndGet(1);
-        assertThat(health.tier()).isEqualTo(ServerHealth.Tier.SOUND);
+        assertThat(health.tier()).isEqualTo(ServerHealth.Tier.HEALTHY);
     }
 
     @Test
@@ -94,11 +94,11 @@
         now.addAndGet(5_000);
         health.onBytesReceived();
         assertThat(health.onPeerReport(0)).isFalse();
-        assertThat(health.tier()).isEqualTo(ServerHealth.Tier.SOUND);
+        assertThat(health.tier()).isEqualTo(ServerHealth.Tier.HEALTHY);
         now.addAndGet(5_000);
         assertThat(health.onPeerReport(0)).isTrue();
         health.onBytesReceived();
-        assertThat(health.tier()).isEqualTo(ServerHealth.Tier.SOUND);
+        assertThat(health.tier()).isEqualTo(ServerHealth.Tier.HEALTHY);
     }
 
     /** Guards against reports from a VM whose own network path is broken. */
--- a/fennelstage-core/src/test/java/org/fennelstage/fleet/ServerTableTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/fleet/ServerTableTest.java
@@ -132,7 +132,7 @@
         table.onRestart(ended::add);
         table.put(startedAt("a", 2));
         assertThat(server("a").running()).isZero();
-        assertThat(server("a").health().tier()).isEqualTo(ServerHealth.Tier.SOUND);
+        assertThat(server("a").health().tier()).isEqualTo(ServerHealth.Tier.HEALTHY);
         assertThat(ended).containsExactly(former);
         assertThat(former.isSuperseded()).isTrue();
         assertThat(server("a").isSuperseded()).isFalse();
--- a/fennelstage-core/src/test/java/org/fennelstage/placement/PlacementTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/placement/PlacementTest.java
@@ -131,7 +131,7 @@
         assertThat(placement.choose(servers, job(prompt("t")), true, s -> false))
                 .contains(servers.get(1));
         servers.get(0).health().onBytesReceived();
-        assertThat(servers.get(0).health().tier()).isEqualTo(ServerHealth.Tier.SOUND);
+        assertThat(servers.get(0).health().tier()).isEqualTo(ServerHealth.Tier.HEALTHY);
     }
 
     /** Guards against placing a short request behind long prompts that other VMs have sent. */
