--- a/fennelstage-core/src/main/java/org/fennelstage/backend/Breaker.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/backend/Breaker.java
@@ -36,11 +36,11 @@
     }
 
     /**
-     * Tells whether the backend server may be selected.
+     * Returns whether the backend server may get a request.
      *
      * @return true if the breaker is closed, or open with its pause over
      */
-    public synchronized boolean isClosed() {
+    public synchronized boolean allowsRequest() {
         return failures < FAILURES_TO_OPEN || clock.millis() >= openUntilMillis;
     }
 
--- a/fennelstage-core/src/test/java/org/fennelstage/backend/BreakerTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/backend/BreakerTest.java
@@ -15,16 +15,16 @@
     @Test
     void oneFailureDoesNotOpenTheBreaker() {
         assertThat(breaker.onFailure()).isFalse();
-        assertThat(breaker.isClosed()).isTrue();
+        assertThat(breaker.allowsRequest()).isTrue();
     }
 
     @Test
     void twoConsecutiveFailuresOpenTheBreakerAndASuccessClosesIt() {
         breaker.onFailure();
         assertThat(breaker.onFailure()).isTrue();
-        assertThat(breaker.isClosed()).isFalse();
+        assertThat(breaker.allowsRequest()).isFalse();
         assertThat(breaker.onSuccess()).isTrue();
-        assertThat(breaker.isClosed()).isTrue();
+        assertThat(breaker.allowsRequest()).isTrue();
     }
 
     /** Guards against many waiting requests that probe a failed server at the same time. */
@@ -33,8 +33,8 @@
         breaker.onFailure();
         breaker.onFailure();
         now = now.plusSeconds(3);
-        assertThat(breaker.isClosed()).isTrue();
+        assertThat(breaker.allowsRequest()).isTrue();
         breaker.onAttempt();
-        assertThat(breaker.isClosed()).isFalse();
+        assertThat(breaker.allowsRequest()).isFalse();
     }
 }
--- a/fennelstage-router/src/main/java/org/fennelstage/route/ServerPool.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/ServerPool.java
@@ -113,7 +113,7 @@
         for (int i = 0; i < tier.servers().size(); i++) {
             final ServerState state = tier.states()[i];
             final boolean excluded =
-                    !state.breaker().isClosed() || tried.contains(tier.servers().get(i).id());
+                    !state.breaker().allowsRequest() || tried.contains(tier.servers().get(i).id());
             tier.loads().set(i, state.inFlight().get(), excluded);
         }
     }
