--- a/fennelstage-core/src/main/java/org/fennelstage/attempt/BaselineFailureRate.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/attempt/BaselineFailureRate.java
@@ -11,7 +11,7 @@
     /** Weight of a new response; about the last hundred responses count. */
     private static final double WEIGHT = 0.01;
 
-    private double share;
+    private double rate;
 
     /**
      * Adds a response.
@@ -19,15 +19,15 @@
      * @param failed whether the backend server reported a failure
      */
     public void onResponse(final boolean failed) {
-        share += WEIGHT * ((failed ? 1 : 0) - share);
+        rate += WEIGHT * ((failed ? 1 : 0) - rate);
     }
 
     /**
-     * Returns the share of failed responses.
+     * Returns the rate of failed responses.
      *
      * @return a number in [0, 1]
      */
-    public double share() {
-        return share;
+    public double rate() {
+        return rate;
     }
 }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Attempt.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Attempt.java
@@ -400,7 +400,7 @@
     private void recordHealth(final boolean failed) {
         final BaselineFailureRate baseline =
                 execution.gateway().state().baselineFailureRate(execution.route().name());
-        server.health().onEnd(failed, baseline.share());
+        server.health().onEnd(failed, baseline.rate());
         baseline.onResponse(failed);
     }
 
