--- a/fennelstage-core/src/main/java/org/fennelstage/serving/Engine.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/serving/Engine.java
@@ -12,7 +12,7 @@
  * @param tokensPerEvent how many tokens one event of a stream holds
  * @param models the models, in the order of the configuration
  */
-public record Engine(int batch, long cacheTokens, int tokensPerEvent, List<ModelSize> models) {
+public record Engine(int batch, long cacheTokens, int tokensPerEvent, List<ModelPrice> models) {
 
     public Engine {
         models = List.copyOf(models);
@@ -24,7 +24,7 @@
      * @param model the model
      * @return the entry, empty if the servers do not have the model
      */
-    public Optional<ModelSize> model(final ModelId model) {
+    public Optional<ModelPrice> model(final ModelId model) {
         return models.stream().filter(m -> m.model().equals(model)).findFirst();
     }
 }
--- a/fennelstage-core/src/main/java/org/fennelstage/serving/ModelSize.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/serving/ModelPrice.java
@@ -10,9 +10,9 @@
  * @param cost its price per 1,000 generated tokens; a prompt token costs a quarter of a generated
  *     one
  */
-public record ModelSize(ModelId model, double cost) {
+public record ModelPrice(ModelId model, double cost) {
 
-    public ModelSize {
+    public ModelPrice {
         Objects.requireNonNull(model, "model is null");
     }
 }
