--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/CrashDetector.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/CrashDetector.java
@@ -159,7 +159,7 @@
      * connection limit or about to crash.
      */
     private void onFirstProbe(final TrackedServer server, final ProbeResult result) {
-        if (result == ProbeResult.TURNED_AWAY) {
+        if (result == ProbeResult.CLOSED) {
             probe(server, second -> onProbed(server, second));
         } else {
             onProbed(server, result);
@@ -178,7 +178,7 @@
                 "requests",
                 fingerprints.size());
         final boolean onlyServerSilent =
-                result == ProbeResult.SILENT && server.health().isDataCentreReachable();
+                result == ProbeResult.NO_RESPONSE && server.health().isDataCentreReachable();
         if (result != ProbeResult.REFUSED && !onlyServerSilent) {
             return;
         }
--- a/fennelstage-http/src/main/java/org/fennelstage/http/HttpClient.java
+++ b/fennelstage-http/src/main/java/org/fennelstage/http/HttpClient.java
@@ -159,16 +159,16 @@
             final Consumer<ProbeResult> result) {
         final boolean accepted = opened.isActive();
         pool.put(address, opened, Optional.empty(), policy);
-        result.accept(accepted ? ProbeResult.ACCEPTED : ProbeResult.TURNED_AWAY);
+        result.accept(accepted ? ProbeResult.ACCEPTED : ProbeResult.CLOSED);
     }
 
     private static ProbeResult toProbeResult(final Throwable cause) {
         if (wasResetWhileConnecting(cause)) {
-            return ProbeResult.TURNED_AWAY;
+            return ProbeResult.CLOSED;
         }
         final boolean refused =
                 cause instanceof ConnectException && !(cause instanceof ConnectTimeoutException);
-        return refused ? ProbeResult.REFUSED : ProbeResult.SILENT;
+        return refused ? ProbeResult.REFUSED : ProbeResult.NO_RESPONSE;
     }
 
     /**
--- a/fennelstage-http/src/main/java/org/fennelstage/http/ProbeResult.java
+++ b/fennelstage-http/src/main/java/org/fennelstage/http/ProbeResult.java
@@ -5,9 +5,9 @@
     /** The server accepted the connection and kept it open. */
     ACCEPTED,
     /** The server accepted the connection and closed it at once: it is at its limit or stopping. */
-    TURNED_AWAY,
+    CLOSED,
     /** The connection was refused: no process listens at the address. */
     REFUSED,
     /** No response within the timeout: the machine or the network path may be down. */
-    SILENT
+    NO_RESPONSE
 }
--- a/fennelstage-http/src/test/java/org/fennelstage/http/HttpClientTest.java
+++ b/fennelstage-http/src/test/java/org/fennelstage/http/HttpClientTest.java
@@ -223,7 +223,7 @@
                                         result::complete));
         accept().close();
         assertThat(result.get(TIMEOUT.toMillis(), TimeUnit.MILLISECONDS))
-                .isEqualTo(ProbeResult.TURNED_AWAY);
+                .isEqualTo(ProbeResult.CLOSED);
     }
 
     @Test
