--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/VmProcess.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/VmProcess.java
@@ -67,7 +67,7 @@
             throws IOException, SettingsException {
         Objects.requireNonNull(file, "file is null");
         final VmSettings settings = reader.read(file);
-        LogSetup.applyCollected();
+        LogSetup.applyForLogCollector();
         final VmProcess process = new VmProcess(file, reader, starter.start(settings));
         Signal.handle(new Signal("TERM"), signal -> process.vm.stop(VmProcess::exit));
         Signal.handle(new Signal("HUP"), signal -> process.reload());
--- a/fennelstage-log/src/main/java/org/fennelstage/log/LogSetup.java
+++ b/fennelstage-log/src/main/java/org/fennelstage/log/LogSetup.java
@@ -47,7 +47,7 @@
      * <p>Lines pass through a bounded queue and are dropped and counted when it is full, so that a
      * collector that stops reading cannot block the process.
      */
-    public static void applyCollected() {
+    public static void applyForLogCollector() {
         final LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
         context.reset();
         final ConsoleAppender<ILoggingEvent> console = new ConsoleAppender<>();
