--- a/fennelstage-core/src/main/java/org/fennelstage/attempt/AttemptEnd.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/attempt/AttemptEnd.java
@@ -22,7 +22,7 @@
     }
 
     /**
-     * Tells whether the request may have run in this attempt.
+     * Returns whether the request may have run in this attempt.
      *
      * @return false only if it certainly did not run and never will
      */
--- a/fennelstage-core/src/main/java/org/fennelstage/attempt/AttemptLog.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/attempt/AttemptLog.java
@@ -39,7 +39,7 @@
     }
 
     /**
-     * Tells whether an attempt may begin.
+     * Returns whether an attempt may begin.
      *
      * @return true if no attempt is open and another one is allowed
      */
@@ -49,7 +49,7 @@
     }
 
     /**
-     * Records the begin of an attempt.
+     * Records the start of an attempt.
      *
      * @param server the backend server
      * @throws IllegalStateException if {@link #maySend()} is false
@@ -83,7 +83,7 @@
     }
 
     /**
-     * Tells whether the request may have run or may still run.
+     * Returns whether the request may have run or may still run.
      *
      * @return false only if no attempt is open and the request certainly did not run in any
      */
@@ -92,7 +92,7 @@
     }
 
     /**
-     * Tells whether an attempt was made at a backend server.
+     * Returns whether an attempt was made at a backend server.
      *
      * @param server the backend server
      * @return true if one was made, even if the request was not sent
@@ -104,7 +104,7 @@
     /**
      * Returns the number of attempts that were sent.
      *
-     * @return the number of attempts, with the open one
+     * @return the number of attempts, including the open one
      */
     public int sent() {
         return sent;
--- a/fennelstage-core/src/main/java/org/fennelstage/attempt/Inactivity.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/attempt/Inactivity.java
@@ -34,7 +34,7 @@
     private static final int MIN_RESPONSES = 2;
 
     /**
-     * Tells whether the attempt has timed out.
+     * Returns whether the attempt has timed out.
      *
      * @param timeoutMillis the timeout of inactivity for such a request; milliseconds
      * @return true if the server is to be treated as failed
--- a/fennelstage-core/src/main/java/org/fennelstage/attempt/LatencyEstimator.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/attempt/LatencyEstimator.java
@@ -61,7 +61,7 @@
     }
 
     /**
-     * Tells whether there are enough samples to reject requests by {@link
+     * Returns whether there are enough samples to reject requests by {@link
      * #prefillMillisPerToken()}.
      *
      * @return true from the tenth response on
--- a/fennelstage-core/src/main/java/org/fennelstage/backend/package-info.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/backend/package-info.java
@@ -1,2 +1,2 @@
-/** Backend servers, their load, and the selection of one for a request. */
+/** Backend servers of fennelstage-router, their load, and the selection of one for a request. */
 package org.fennelstage.backend;
--- a/fennelstage-core/src/main/java/org/fennelstage/bill/Bill.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/bill/Bill.java
@@ -7,7 +7,7 @@
 import org.fennelstage.id.VersionId;
 
 /**
- * The cost of one request to its team.
+ * The record of one complete answer for accounting.
  *
  * <p>Invariant: bills with the same request id are duplicates; readers count each id once.
  * Immutable and thread-safe.
--- a/fennelstage-core/src/main/java/org/fennelstage/canary/Canary.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/canary/Canary.java
@@ -70,7 +70,7 @@
     }
 
     /**
-     * Tells whether a version is known.
+     * Returns whether a version is known.
      *
      * @param version the version
      * @return true if it is in use, ordered or found bad
@@ -81,7 +81,7 @@
     }
 
     /**
-     * Tells whether any version is in use.
+     * Returns whether any version is in use.
      *
      * @return true if at least one version is in use
      */
@@ -261,8 +261,8 @@
     }
 
     /**
-     * Tells whether a version may get a request; to be called before each attempt, since a version
-     * may be found bad between two attempts.
+     * Returns whether a version may get a request; to be called before each attempt, since a
+     * version may be found bad between two attempts.
      *
      * <p>A version that other VMs report as being rolled out gets nothing if another one is in use:
      * a VM that starts while the store has lost the order would otherwise treat both as in use.
@@ -363,7 +363,7 @@
     }
 
     /**
-     * Tells whether {@link #phaseToWrite()} was lost when the store was restored from a copy. All
+     * Returns whether {@link #phaseToWrite()} was lost when the store was restored from a copy. All
      * VMs then find it missing at the same time.
      *
      * @return true if the store held the order's end before
--- a/fennelstage-core/src/main/java/org/fennelstage/canary/CanaryEvidence.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/canary/CanaryEvidence.java
@@ -90,7 +90,7 @@
     }
 
     /**
-     * Tells whether the new version is bad by the present evidence.
+     * Returns whether the new version is bad by the present evidence.
      *
      * @return true until good responses have reduced the sum below its limit again
      */
@@ -100,7 +100,7 @@
 
     @Override
     public String toString() {
-        return "answers="
+        return "responses="
                 + newResponses
                 + " bad="
                 + newBadResponses
--- a/fennelstage-core/src/main/java/org/fennelstage/canary/CanaryPlan.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/canary/CanaryPlan.java
@@ -82,7 +82,7 @@
     }
 
     /**
-     * Tells whether sessions take part in the rollout.
+     * Returns whether sessions take part in the rollout.
      *
      * @param elapsed the time since the order
      * @return false in the first half of the duration and shortly after it
@@ -92,7 +92,7 @@
     }
 
     /**
-     * Tells whether all traffic goes to the new version.
+     * Returns whether all traffic goes to the new version.
      *
      * @param elapsed the time since the order
      * @return true in the final part of the duration
@@ -102,7 +102,7 @@
     }
 
     /**
-     * Tells whether the completion is to be written.
+     * Returns whether the completion is to be written.
      *
      * @param elapsed the time since the order
      * @return true once all traffic has moved and earlier requests have had time to end
--- a/fennelstage-core/src/main/java/org/fennelstage/canary/RolloutPhase.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/canary/RolloutPhase.java
@@ -12,7 +12,7 @@
     ROLLED_BACK;
 
     /**
-     * Tells whether the rollout has ended.
+     * Returns whether the rollout has ended.
      *
      * @return true if the phase is final
      */
--- a/fennelstage-core/src/main/java/org/fennelstage/canary/package-info.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/canary/package-info.java
@@ -1,2 +1,5 @@
-/** Canary rollouts: the traffic that a new version gets, and when it is halted or completed. */
+/**
+ * Rollouts of services in fennelstage-gateway: the traffic that a new version gets, and when the
+ * rollout is halted or completed.
+ */
 package org.fennelstage.canary;
--- a/fennelstage-core/src/main/java/org/fennelstage/cascade/package-info.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/cascade/package-info.java
@@ -1,2 +1,5 @@
-/** Decides whether the cheap model, the best model, or both in sequence answer a request. */
+/**
+ * Decides in fennelstage-router whether the cheap model, the best model, or both in sequence answer
+ * a request.
+ */
 package org.fennelstage.cascade;
--- a/fennelstage-core/src/main/java/org/fennelstage/configuration/Revision.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/configuration/Revision.java
@@ -30,7 +30,7 @@
     }
 
     /**
-     * Tells whether this revision is newer than another.
+     * Returns whether this revision is newer than another.
      *
      * @param other the other revision
      * @return true if strictly newer
--- a/fennelstage-core/src/main/java/org/fennelstage/configuration/package-info.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/configuration/package-info.java
@@ -1,2 +1,2 @@
-/** Configuration objects, their revisions, and the current configuration. */
+/** Configuration objects of fennelstage-router, their revisions, and the current configuration. */
 package org.fennelstage.configuration;
--- a/fennelstage-core/src/main/java/org/fennelstage/crash/Quarantine.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/crash/Quarantine.java
@@ -91,7 +91,7 @@
     }
 
     /**
-     * Returns the requests in quarantine, with those that are expired and not removed yet.
+     * Returns the requests in quarantine, including expired ones that are not removed yet.
      *
      * @return their fingerprints
      */
@@ -100,7 +100,7 @@
     }
 
     /**
-     * Returns the number of requests in quarantine, with those that are expired and not removed
+     * Returns the number of requests in quarantine, including expired ones that are not removed
      * yet.
      *
      * @return the number of requests
--- a/fennelstage-core/src/main/java/org/fennelstage/fleet/Load.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/fleet/Load.java
@@ -4,7 +4,7 @@
  * Requests running at one backend server. Immutable and thread-safe.
  *
  * @param running the number of running requests
- * @param unreadMillis expected time to read the prompts of those without a response yet;
+ * @param unreadMillis expected time to read (prefill) the prompts of those without a response yet;
  *     milliseconds
  */
 public record Load(int running, long unreadMillis) {
--- a/fennelstage-core/src/main/java/org/fennelstage/fleet/LoadBoard.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/fleet/LoadBoard.java
@@ -47,7 +47,8 @@
      * Returns a board without reports.
      *
      * @param clock the clock
-     * @param scale returns the number of VMs per VM that reports to this one; 1 if all report
+     * @param scale returns the ratio of all other VMs to those that report to this one; 1 if all
+     *     report
      * @return the board
      */
     public static LoadBoard of(final MonotonicClock clock, final DoubleSupplier scale) {
--- a/fennelstage-core/src/main/java/org/fennelstage/fleet/TrackedServer.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/fleet/TrackedServer.java
@@ -13,9 +13,9 @@
 public final class TrackedServer {
 
     /**
-     * Window in which this VM's share of the warm-up rate applies. Exceeds the second in which the
-     * backend server counts by the longest time to open a connection, so that requests that this VM
-     * sends in different windows never arrive within the same second.
+     * Window to which this VM's share of the warm-up rate applies: the second over which the
+     * backend server counts requests, and the longest time to open a connection. Requests that this
+     * VM sends in different windows therefore never arrive within the same second.
      */
     static final long WARM_UP_WINDOW_MILLIS = 1_200;
 
@@ -201,8 +201,8 @@
     /**
      * Returns how long until the backend server may get its next request during its warm-up.
      *
-     * <p>Invariant: of the requests that are sent when this is zero, no more than the share are
-     * within {@link #WARM_UP_WINDOW_MILLIS}.
+     * <p>Invariant: if requests are sent only while this is zero, at most {@code share} of them are
+     * sent within any {@link #WARM_UP_WINDOW_MILLIS}.
      *
      * @param share how many requests per second this VM may send to it
      * @return the time until then; the rest of the warm-up if the share is 0
--- a/fennelstage-core/src/main/java/org/fennelstage/history/Position.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/history/Position.java
@@ -40,7 +40,7 @@
     }
 
     /**
-     * Tells whether this position is after another.
+     * Returns whether this position is after another.
      *
      * @param other the other position
      * @return true if strictly after
@@ -50,7 +50,8 @@
     }
 
     /**
-     * Tells whether everything written up to this position includes the write at another position.
+     * Returns whether everything written up to this position includes the write at another
+     * position.
      *
      * @param other the other position
      * @return true if both are of one era and the other is not after this one; false across eras,
@@ -61,7 +62,7 @@
     }
 
     /**
-     * Tells whether the era of this position is before the era of another.
+     * Returns whether the era of this position is before the era of another.
      *
      * @param other the other position
      * @return true if the other position is of a later era
--- a/fennelstage-core/src/main/java/org/fennelstage/member/Member.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/member/Member.java
@@ -38,7 +38,7 @@
     }
 
     /**
-     * Tells whether this record supersedes another of the same VM.
+     * Returns whether this record supersedes another of the same VM.
      *
      * @param other the other record
      * @return true if this record supersedes the other
--- a/fennelstage-core/src/main/java/org/fennelstage/member/Rendezvous.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/member/Rendezvous.java
@@ -8,9 +8,11 @@
 import org.fennelstage.id.VmId;
 
 /**
- * Assigns duties to VMs by rendezvous hashing (highest random weight). VMs that know the same
- * members choose the same one, and adding or removing a VM reassigns only the duties of that VM.
- * Stateless and thread-safe.
+ * Rendezvous hashing (highest random weight), used to assign duties to VMs and prompt parts to
+ * backend servers. A duty is a task that one VM performs for its data centre.
+ *
+ * <p>VMs that know the same candidates choose the same one without messages, and adding or removing
+ * a candidate reassigns only what is assigned to it. Stateless and thread-safe.
  */
 public final class Rendezvous {
 
--- a/fennelstage-core/src/main/java/org/fennelstage/model/ModelVersion.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/model/ModelVersion.java
@@ -34,7 +34,7 @@
     }
 
     /**
-     * Tells whether this version accepts requests that do not belong to a session.
+     * Returns whether this version accepts requests that do not belong to a session.
      *
      * @return true if it is serving
      */
@@ -43,7 +43,7 @@
     }
 
     /**
-     * Tells whether this version accepts requests of sessions that began on it.
+     * Returns whether this version accepts requests of sessions that began on it.
      *
      * @return true unless it is withdrawn
      */
--- a/fennelstage-core/src/main/java/org/fennelstage/placement/Job.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/placement/Job.java
@@ -11,7 +11,8 @@
  * @param prompt the prompt, empty for a service without models
  * @param model the model, empty if there is no choice
  * @param sharing whether to prefer backend servers that likely have the shared prompt part cached
- * @param millisPerToken time in which a backend server reads one prompt token; milliseconds
+ * @param millisPerToken time in which a backend server reads (prefills) one prompt token;
+ *     milliseconds
  * @param responseMillis expected time that such a request runs; milliseconds
  */
 public record Job(
--- a/fennelstage-core/src/main/java/org/fennelstage/request/package-info.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/request/package-info.java
@@ -1,2 +1,2 @@
-/** Request ids and the retry budget. */
+/** Request ids and the retry budget of fennelstage-router. */
 package org.fennelstage.request;
--- a/fennelstage-core/src/main/java/org/fennelstage/rollout/SequentialTest.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/rollout/SequentialTest.java
@@ -47,7 +47,7 @@
     }
 
     /**
-     * Tells whether the rate exceeds the tolerated one.
+     * Returns whether the rate exceeds the tolerated one.
      *
      * @param judged the number of judged requests
      * @param bad how many of them were bad
@@ -61,7 +61,7 @@
     }
 
     /**
-     * Tells whether the rate is shown to be below an unacceptable one. While the true rate is at
+     * Returns whether the rate is shown to be below an unacceptable one. While the true rate is at
      * least the unacceptable one, the probability of a false positive over all evaluations is at
      * most {@code beta}, by the same inequality.
      *
--- a/fennelstage-core/src/main/java/org/fennelstage/serving/Route.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/serving/Route.java
@@ -60,7 +60,7 @@
     }
 
     /**
-     * Tells whether a request may run more than once.
+     * Returns whether a request may run more than once.
      *
      * @return true for idempotent requests and for streams that may be resumed
      */
--- a/fennelstage-core/src/main/java/org/fennelstage/serving/ServingConfiguration.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/serving/ServingConfiguration.java
@@ -82,7 +82,7 @@
     }
 
     /**
-     * Tells whether requests need a key, unless their route is keyless.
+     * Returns whether requests need a key, unless their route is keyless.
      *
      * @return true if any team is declared
      */
--- a/fennelstage-core/src/main/java/org/fennelstage/serving/package-info.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/serving/package-info.java
@@ -1,2 +1,4 @@
-/** The serving configuration: routes, services, models, limits and the teams' keys. */
+/**
+ * The configuration of fennelstage-gateway: routes, services, models, limits and the teams' keys.
+ */
 package org.fennelstage.serving;
--- a/fennelstage-core/src/main/java/org/fennelstage/sizing/package-info.java
+++ b/fennelstage-core/src/main/java/org/fennelstage/sizing/package-info.java
@@ -1,2 +1,5 @@
-/** Chooses the model size for a request and decides whether an answer is good enough. */
+/**
+ * Chooses the model size for a request in fennelstage-gateway, and decides whether an answer is
+ * good enough.
+ */
 package org.fennelstage.sizing;
--- a/fennelstage-core/src/test/java/org/fennelstage/canary/CanaryTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/canary/CanaryTest.java
@@ -185,7 +185,7 @@
         assertThat(moved).hasSize(300);
     }
 
-    /** Tells whether a session has moved and all VMs apply the same share of sessions. */
+    /** Returns whether a session has moved and all VMs apply the same share of sessions. */
     private static boolean mustStayMoved(
             final Set<String> moved, final String session, final long at, final long step) {
         final CanaryPlan plan = new CanaryPlan(DURATION, SHARE);
--- a/fennelstage-core/src/test/java/org/fennelstage/fleet/DrainOverridesTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/fleet/DrainOverridesTest.java
@@ -24,7 +24,7 @@
         assertThat(overrides.endedOverride()).isEmpty();
     }
 
-    /** Guards against excluding a running server for ever after a restore. */
+    /** Guards against excluding a running server forever after a restore. */
     @Test
     void entryThatIsStillListedAfterTheOverridePeriodIsUsed() {
         overrides.onRemoved(entry(false).incarnation());
--- a/fennelstage-core/src/test/java/org/fennelstage/fleet/LoadBoardTest.java
+++ b/fennelstage-core/src/test/java/org/fennelstage/fleet/LoadBoardTest.java
@@ -31,7 +31,7 @@
         assertThat(board.others(B)).isEqualTo(new Load(5, 0));
     }
 
-    /** Guards against counting the load of a crashed VM for ever. */
+    /** Guards against counting the load of a crashed VM forever. */
     @Test
     void reportOfAVmThatStopsReportingExpires() {
         report("vm-1", Map.of(A, new Load(2, 100)));
