--- a/fennelstage-objects/src/main/java/org/fennelstage/objects/Declarations.java
+++ b/fennelstage-objects/src/main/java/org/fennelstage/objects/Declarations.java
@@ -18,7 +18,7 @@
 import org.fennelstage.team.Team;
 
 /**
- * The encoding of declarations in the object API: the declaration and a change id, by which a
+ * The encoding of declarations in the object store: the declaration and a change id, by which a
  * writer that got no response recognises its own write. Stateless and thread-safe.
  */
 public final class Declarations {
@@ -41,7 +41,7 @@
      *
      * @param changeId identifies the change
      * @param declaration the declaration
-     * @return the bytes for the object API
+     * @return the bytes to store
      */
     public static byte[] encode(final String changeId, final Object declaration) {
         final var node = Json.mapper().createObjectNode();
--- a/fennelstage-objects/src/main/java/org/fennelstage/objects/Keys.java
+++ b/fennelstage-objects/src/main/java/org/fennelstage/objects/Keys.java
@@ -5,7 +5,7 @@
 import org.fennelstage.id.RolloutId;
 import org.fennelstage.id.VmId;
 
-/** The keys of objects in the object API. Stateless and thread-safe. */
+/** The keys of objects in the object store. Stateless and thread-safe. */
 public final class Keys {
 
     /** The prefix of declarations, which VMs watch. */
--- a/fennelstage-objects/src/main/java/org/fennelstage/objects/ObjectStore.java
+++ b/fennelstage-objects/src/main/java/org/fennelstage/objects/ObjectStore.java
@@ -6,7 +6,7 @@
 import org.fennelstage.configuration.Revision;
 
 /**
- * The object API: versioned objects with conditional writes and watches.
+ * The platform's object store: versioned objects with conditional writes and watches.
  *
  * <p>Invariant: a write takes effect only if the key's revision is the expected one; writes are
  * totally ordered; reads may be stale. Futures never complete exceptionally: failures are results.
--- a/fennelstage-objects/src/main/java/org/fennelstage/objects/VmReport.java
+++ b/fennelstage-objects/src/main/java/org/fennelstage/objects/VmReport.java
@@ -4,7 +4,7 @@
 import org.fennelstage.id.VmId;
 
 /**
- * The state of the VMs of a data centre, stored in the object API for operators. Immutable and
+ * The state of the VMs of a data centre, stored in the object store for operators. Immutable and
  * thread-safe.
  *
  * @param atMillis when the report was written; milliseconds since the epoch
