--- a/spec/guards/run.py
+++ b/spec/guards/run.py
@@ -132,7 +132,7 @@
      "startMillis = startIsMonotonic ? Math.min(startMillis, reportedStart) : reportedStart;", "startMillis = Math.min(startMillis, reportedStart);",
      "CanaryTest,RolloutAgesTest"),
     ("bad-version-gets-no-further-attempt", CORE + "canary/Canary.java",
-     "return toNew ? isTarget(version) && !bad.contains(version) :", "return toNew ? isTarget(version) :",
+     "return isTarget(version) && !badVersions.contains(version);", "return isTarget(version);",
      "CanaryTest"),
     ("only-a-list-tells-an-outage", GATEWAY + "vm/ServerFeed.java",
      "servers.onStoreCallFailed();", "servers.onStoreUnavailable();",
