--- a/fennelstage-ctl/src/main/java/org/fennelstage/ctl/Main.java
+++ b/fennelstage-ctl/src/main/java/org/fennelstage/ctl/Main.java
@@ -93,7 +93,7 @@
         final boolean explains = command.equals("explain");
         final List<Path> files = words.stream().skip(explains ? 2 : 1).map(Path::of).toList();
         try {
-            final ReportCommand logs = ReportCommand.reading(files, System.in, out);
+            final ReportCommand logs = ReportCommand.read(files, System.in, out);
             if (!explains) {
                 logs.report(format(line.getOptionValue("format", "text")));
             } else if (!logs.explain(word(words, 1))) {
--- a/fennelstage-ctl/src/main/java/org/fennelstage/report/Cause.java
+++ b/fennelstage-ctl/src/main/java/org/fennelstage/report/Cause.java
@@ -1,26 +1,29 @@
 package org.fennelstage.report;
 
-/** Why a request was not served in time. The first that fits counts, in this order. */
+/**
+ * Why a request was not served in time. {@link RequestTimeline#cause} selects the first that
+ * applies. The lower-case names of the constants are keys in the JSON report.
+ */
 public enum Cause {
-    /** It was served in time. */
+    /** The request was served in time. */
     NONE("served in time"),
-    /** The caller went away. */
+    /** The caller closed the connection. */
     CALLER_GONE("the caller left"),
-    /** The VM that had it ended before it did. */
+    /** The VM ended before the request did. */
     VM_ENDED("its VM ended"),
-    /** Nothing was sent: no configuration, no worker, or no room. */
+    /** The VM rejected the request without sending it to a backend server. */
     REFUSED("refused before any attempt"),
-    /** A worker could not be reached or went silent, and the time was lost on it. */
+    /** A backend server was unavailable, or sent nothing for too long. */
     DARK_SERVER("a backend server was dark"),
-    /** A connection broke, or an answer came that was none. */
+    /** A connection was closed before the response was complete, or a response was not signed. */
     BROKEN_ANSWER("an answer broke off or was spoiled"),
-    /** Workers said that they failed, or that they did not run it. */
+    /** Backend servers responded with an error or rejected the request. */
     FAILED_ANSWER("backend servers failed or rejected it"),
-    /** A larger model was asked after a smaller one, and began too late. */
+    /** The answer of a smaller model was discarded, and the larger model began too late. */
     LARGER_MODEL("a larger model was asked and began late"),
-    /** It waited at one worker. */
+    /** The only delay was at the backend server that ran the request. */
     WAITED("it waited at a backend server"),
-    /** The log does not tell. */
+    /** The log does not show the cause. */
     UNEXPLAINED("not explained by the log");
 
     private final String text;
@@ -30,9 +33,9 @@
     }
 
     /**
-     * Returns the cause in words.
+     * Returns the description that reports print.
      *
-     * @return the words
+     * @return the description
      */
     public String text() {
         return text;
--- a/fennelstage-ctl/src/main/java/org/fennelstage/report/HtmlReport.java
+++ b/fennelstage-ctl/src/main/java/org/fennelstage/report/HtmlReport.java
@@ -10,7 +10,7 @@
 import org.knowm.xchart.CategoryChartBuilder;
 import org.knowm.xchart.style.Styler;
 
-/** Writes a report as one page that opens without a network. Stateless and thread-safe. */
+/** Formats a report as one HTML page without external resources. Stateless and thread-safe. */
 final class HtmlReport {
 
     private static final int WIDTH = 1_100;
@@ -21,11 +21,12 @@
     /**
      * Returns the page.
      *
-     * @param report what to show
-     * @param promised the share of requests that is promised to be in time
-     * @throws IOException if a plot cannot be drawn
+     * @param report the report
+     * @param sloTarget the fraction of requests required to be served in time; below 1
+     * @return the HTML text
+     * @throws IOException if the chart cannot be encoded
      */
-    static String page(final ServiceReport report, final double promised) throws IOException {
+    static String page(final ServiceReport report, final double sloTarget) throws IOException {
         return """
                <!DOCTYPE html><html lang="en"><head><meta charset="utf-8">
                <title>Requests: served, late, lost</title>
@@ -35,7 +36,7 @@
                <h2>Tables</h2><pre>%s</pre></body></html>
                """
                 .formatted(
-                        image(causesBySecond(report)), escape(TextReport.text(report, promised)));
+                        image(causesBySecond(report)), escape(TextReport.text(report, sloTarget)));
     }
 
     private static CategoryChart causesBySecond(final ServiceReport report) {
--- a/fennelstage-ctl/src/main/java/org/fennelstage/report/LogLine.java
+++ b/fennelstage-ctl/src/main/java/org/fennelstage/report/LogLine.java
@@ -7,12 +7,12 @@
 import java.util.OptionalLong;
 
 /**
- * One event of a VM's log. Immutable and thread-safe.
+ * A log event of a VM. Immutable and thread-safe.
  *
  * @param at when it was written, by the VM's clock
- * @param vm the VM, or the name of the file that held the line
- * @param code the event's number, such as {@code FS4012}
- * @param fields what the line says, by name
+ * @param vm the name of the VM, or of the log file if the line does not name the VM
+ * @param code the code of the event, such as {@code FS4012}
+ * @param fields the values of the event's fields, by field name
  */
 public record LogLine(Instant at, String vm, String code, Map<String, String> fields) {
 
@@ -24,20 +24,21 @@
     }
 
     /**
-     * Returns a field.
+     * Returns the value of a field.
      *
-     * @param name its name
-     * @return its text, empty if the line has none
+     * @param name the name of the field
+     * @return the value; empty if the event has no such field
      */
     public Optional<String> field(final String name) {
         return Optional.ofNullable(fields.get(name));
     }
 
     /**
-     * Returns a field that holds a whole number.
+     * Returns the value of an integer field.
      *
-     * @param name its name
-     * @return the number, empty if the line has none
+     * @param name the name of the field
+     * @return the number; empty if the event has no such field or its value is not an integer of at
+     *     most 18 digits
      */
     public OptionalLong number(final String name) {
         final Optional<String> text = field(name).filter(t -> t.matches("-?\\d{1,18}"));
--- a/fennelstage-ctl/src/main/java/org/fennelstage/report/LogReader.java
+++ b/fennelstage-ctl/src/main/java/org/fennelstage/report/LogReader.java
@@ -15,22 +15,21 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads structured log lines and keeps those that speak of a request.
+ * Reads structured log lines and keeps the events of requests.
  *
- * <p>The log of a large fleet is long: of 64 VMs it grows by some 1,800 lines a second on a calm
- * day. What no report reads is not kept: the other events, and of each line the logger's own fields
- * and the message, which says all fields once more.
+ * <p>To limit memory use, discards all other events, and of each event the message and the fields
+ * that the logger adds.
  *
- * <p>What collects logs often puts the VM's name before each line; the last word before the line is
- * taken for it. Lines that are no event are counted and passed over. Not thread-safe.
+ * <p>Log collectors often prefix each line with the name of the VM: the last word before the JSON
+ * object is taken as the name. Lines that are not events are counted and skipped. Not thread-safe.
  */
 public final class LogReader {
 
-    /** Refused, sent, failed, finished, dropped: the events of one request. */
+    /** Codes of the events of a request: rejected, sent, failed, finished, answer dropped. */
     private static final Pattern REQUEST_EVENT = Pattern.compile("FS401[1-5]");
 
-    /** What the logger adds to each line. */
-    private static final Set<String> NOT_KEPT =
+    /** Fields that the logger adds to each line. */
+    private static final Set<String> LOGGER_FIELDS =
             Set.of(
                     "@timestamp",
                     "@version",
@@ -46,44 +45,44 @@
     private int skipped;
 
     /**
-     * Reads lines to their end.
+     * Reads all lines of a log.
      *
      * @param reader the lines
-     * @param source names the VM where a line does not
-     * @throws IOException if they cannot be read
+     * @param source the name to use as the VM's for lines without a prefix
+     * @throws IOException if a line cannot be read
      */
     public void read(final BufferedReader reader, final String source) throws IOException {
         for (String text = reader.readLine(); text != null; text = reader.readLine()) {
-            take(text, source);
+            parse(text, source);
         }
     }
 
     /**
      * Returns the events of requests read so far.
      *
-     * @return the events, in the order of reading
+     * @return the events, in the order in which they were read
      */
     public List<LogLine> lines() {
         return List.copyOf(lines);
     }
 
     /**
-     * Returns how many lines were no event.
+     * Returns the number of lines that were not events.
      *
-     * @return the count
+     * @return the number of lines
      */
     public int skipped() {
         return skipped;
     }
 
-    private void take(final String text, final String source) {
-        final int begin = text.indexOf('{');
-        if (begin < 0) {
+    private void parse(final String text, final String source) {
+        final int start = text.indexOf('{');
+        if (start < 0) {
             skipped++;
             return;
         }
         try {
-            final JsonNode node = json.readTree(text.substring(begin));
+            final JsonNode node = json.readTree(text.substring(start));
             final String code = node.path("event").asText("");
             if (code.isEmpty()) {
                 skipped++;
@@ -93,10 +92,10 @@
             if (!REQUEST_EVENT.matcher(code).matches()) {
                 return;
             }
-            lines.add(new LogLine(at, vm(text.substring(0, begin), source), code, fields(node)));
+            lines.add(new LogLine(at, vm(text.substring(0, start), source), code, fields(node)));
         } catch (final JsonProcessingException | DateTimeParseException e) {
-            // A line cut off by the end of its process, or of another program: counted, since one
-            // in the middle of a file means that the log is damaged.
+            // The line is truncated, as when its process ended, or is from another program. It is
+            // counted, since many such lines indicate a damaged log.
             skipped++;
         }
     }
@@ -107,8 +106,8 @@
         return last.isEmpty() ? source : last;
     }
 
-    private static boolean isKept(final String field) {
-        return !NOT_KEPT.contains(field);
+    private static boolean isEventField(final String field) {
+        return !LOGGER_FIELDS.contains(field);
     }
 
     private static Map<String, String> fields(final JsonNode node) {
@@ -116,7 +115,7 @@
         node.fields()
                 .forEachRemaining(
                         field -> {
-                            if (isKept(field.getKey()) && field.getValue().isValueNode()) {
+                            if (isEventField(field.getKey()) && field.getValue().isValueNode()) {
                                 fields.put(field.getKey(), field.getValue().asText());
                             }
                         });
--- a/fennelstage-ctl/src/main/java/org/fennelstage/report/ReportCommand.java
+++ b/fennelstage-ctl/src/main/java/org/fennelstage/report/ReportCommand.java
@@ -11,19 +11,19 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The commands {@code report} and {@code explain} of {@code fennelctl}. Not thread-safe. */
+/** The {@code report} and {@code explain} commands of {@code fennelctl}. Not thread-safe. */
 public final class ReportCommand {
 
-    /** The share of requests in time that the brief promises. */
-    public static final double PROMISED = 0.95;
+    /** Fraction of requests that the service level objective requires to be served in time. */
+    public static final double SLO_TARGET = 0.95;
 
-    /** How a report is written. */
+    /** The format of a report. */
     public enum Format {
         /** Tables for a terminal. */
         TEXT,
-        /** For other programs. */
+        /** One JSON object. */
         JSON,
-        /** One page with plots. */
+        /** One HTML page with a chart. */
         HTML
     }
 
@@ -35,15 +35,15 @@
     }
 
     /**
-     * Reads logs.
+     * Reads logs and returns a command that reports on them.
      *
-     * @param files the files; none for standard input
+     * @param files the log files; empty to read {@code in}
      * @param in the standard input
-     * @param out where reports go
-     * @return the command, ready to report
+     * @param out the stream to print to
+     * @return the command
      * @throws IOException if a file cannot be read
      */
-    public static ReportCommand reading(
+    public static ReportCommand read(
             final List<Path> files, final InputStream in, final PrintStream out)
             throws IOException {
         final ReportCommand command = new ReportCommand(out);
@@ -60,39 +60,41 @@
     }
 
     /**
-     * Writes the report.
+     * Prints the report.
      *
-     * @param format how
-     * @throws IOException if a plot cannot be drawn
+     * @param format the format
+     * @throws IOException if the chart cannot be encoded
      */
     public void report(final Format format) throws IOException {
         final ServiceReport report = ServiceReport.of(reader.lines());
         out.print(
                 switch (format) {
-                    case TEXT -> TextReport.text(report, PROMISED) + sessions() + skipped();
-                    case JSON -> TextReport.json(report, PROMISED);
-                    case HTML -> HtmlReport.page(report, PROMISED);
+                    case TEXT ->
+                            TextReport.text(report, SLO_TARGET) + versionChanges() + skippedLines();
+                    case JSON -> TextReport.json(report, SLO_TARGET);
+                    case HTML -> HtmlReport.page(report, SLO_TARGET);
                 });
     }
 
     /**
-     * Tells the story of one request.
+     * Prints the events of one request and the cause of its delay or failure.
      *
-     * @param id its id
-     * @return false if no line speaks of it
+     * @param id the id of the request
+     * @return false if the logs contain no event of the request
      */
     public boolean explain(final String id) {
-        final Optional<RequestStory> story = ServiceReport.of(reader.lines()).find(id);
-        story.ifPresent(s -> s.tell().forEach(out::println));
-        return story.isPresent();
+        final Optional<RequestTimeline> timeline = ServiceReport.of(reader.lines()).find(id);
+        timeline.ifPresent(t -> t.describe().forEach(out::println));
+        return timeline.isPresent();
     }
 
-    private String sessions() {
-        return String.join(System.lineSeparator(), SessionMoves.of(reader.lines()).tell())
+    private String versionChanges() {
+        return String.join(
+                        System.lineSeparator(), SessionVersionChanges.of(reader.lines()).describe())
                 + System.lineSeparator();
     }
 
-    private String skipped() {
-        return "lines that are no event: " + reader.skipped() + System.lineSeparator();
+    private String skippedLines() {
+        return "lines that are not events: " + reader.skipped() + System.lineSeparator();
     }
 }
--- a/fennelstage-ctl/src/main/java/org/fennelstage/report/RequestStory.java
+++ b/fennelstage-ctl/src/main/java/org/fennelstage/report/RequestTimeline.java
@@ -6,36 +6,37 @@
 import java.util.Optional;
 
 /**
- * What the log says of one request. Immutable.
+ * The log events of one request, from which the cause of its delay or failure is inferred.
  *
- * <p>Invariant: the lines are of one request, in the order of their times, and there is at least
- * one.
+ * <p>Invariant: there is at least one event, and all belong to one request and are in order of
+ * time. Immutable and thread-safe.
  */
-public final class RequestStory {
+public final class RequestTimeline {
 
     private static final String SENT = "FS4012";
-    private static final String FAILED = "FS4013";
+    private static final String ATTEMPT_FAILED = "FS4013";
     private static final String FINISHED = "FS4014";
-    private static final String DROPPED = "FS4015";
-    private static final String REFUSED = "FS4011";
+    private static final String ANSWER_DROPPED = "FS4015";
+    private static final String REJECTED = "FS4011";
 
     private final List<LogLine> lines;
 
-    private RequestStory(final List<LogLine> lines) {
+    private RequestTimeline(final List<LogLine> lines) {
         this.lines = lines;
     }
 
     /**
-     * Returns the story of a request.
+     * Returns the timeline of a request.
      *
-     * @param lines its lines, in the order of their times
-     * @return the story
+     * @param lines the events of the request, in order of time; at least one
+     * @return the timeline
+     * @throws IllegalArgumentException if there are no events
      */
-    public static RequestStory of(final List<LogLine> lines) {
+    public static RequestTimeline of(final List<LogLine> lines) {
         if (lines.isEmpty()) {
-            throw new IllegalArgumentException("no lines");
+            throw new IllegalArgumentException("a timeline needs at least one log line");
         }
-        return new RequestStory(List.copyOf(lines));
+        return new RequestTimeline(List.copyOf(lines));
     }
 
     public String id() {
@@ -46,28 +47,28 @@
         return lines.get(0).vm();
     }
 
-    public Instant begunAt() {
+    public Instant startedAt() {
         return lines.get(0).at();
     }
 
     /**
      * Returns the route.
      *
-     * @return its name; a dash if the request ended before it was known
+     * @return the name of the route; a dash if no event names it
      */
     public String route() {
         return lines.stream().flatMap(l -> l.field("route").stream()).findFirst().orElse("-");
     }
 
     /**
-     * Tells why the request was not served in time.
+     * Infers why the request was not served in time.
      *
-     * @return the first cause that fits
+     * @return the first cause that applies; {@link Cause#NONE} if it was served in time
      */
     public Cause cause() {
         final Optional<LogLine> end = first(FINISHED);
         if (end.isEmpty()) {
-            return has(REFUSED) ? Cause.REFUSED : Cause.VM_ENDED;
+            return has(REJECTED) ? Cause.REFUSED : Cause.VM_ENDED;
         }
         if (isInTime(end.get())) {
             return Cause.NONE;
@@ -78,12 +79,12 @@
         if (!has(SENT)) {
             return Cause.REFUSED;
         }
-        return causeOfAttempts();
+        return causeFromAttempts();
     }
 
-    /** Tells whether it was answered, in whatever time. */
+    /** Returns whether the caller got a successful response, in time or late. */
     boolean isServed() {
-        return first(FINISHED).filter(RequestStory::isSuccess).isPresent();
+        return first(FINISHED).filter(RequestTimeline::isSuccess).isPresent();
     }
 
     private static boolean isInTime(final LogLine end) {
@@ -96,23 +97,25 @@
         return outcome(end).equals("answered") && status >= 200 && status < 300;
     }
 
-    private Cause causeOfAttempts() {
-        if (failedWith("silent for") || failedWith("cannot connect")) {
+    private Cause causeFromAttempts() {
+        if (attemptFailedWith("silent for") || attemptFailedWith("cannot connect")) {
             return Cause.DARK_SERVER;
         }
-        if (failedWith("RESPONDING") || failedWith("MAYBE_SENT") || failedWith("unsigned")) {
+        if (attemptFailedWith("RESPONDING")
+                || attemptFailedWith("MAYBE_SENT")
+                || attemptFailedWith("unsigned")) {
             return Cause.BROKEN_ANSWER;
         }
-        if (has(FAILED) || endsWithFailure()) {
+        if (has(ATTEMPT_FAILED) || endsWithServerError()) {
             return Cause.FAILED_ANSWER;
         }
-        if (has(DROPPED)) {
+        if (has(ANSWER_DROPPED)) {
             return Cause.LARGER_MODEL;
         }
         return has(SENT) ? Cause.WAITED : Cause.UNEXPLAINED;
     }
 
-    private boolean endsWithFailure() {
+    private boolean endsWithServerError() {
         return first(FINISHED)
                         .flatMap(l -> l.field("status"))
                         .filter(s -> s.startsWith("5"))
@@ -121,41 +124,41 @@
     }
 
     /**
-     * Tells the story in plain words.
+     * Describes the events of the request and the cause.
      *
-     * @return one line for each event, and the conclusion
+     * @return a heading, one line for each event, and the cause
      */
-    public List<String> tell() {
-        final List<String> told = new ArrayList<>();
-        told.add("request " + id() + " of route " + route() + " at VM " + vm());
+    public List<String> describe() {
+        final List<String> descriptions = new ArrayList<>();
+        descriptions.add("request " + id() + " of route " + route() + " at VM " + vm());
         for (final LogLine line : lines) {
-            final long millis = line.at().toEpochMilli() - begunAt().toEpochMilli();
-            told.add(String.format("%7d ms  %s", millis, sentence(line)));
+            final long millis = line.at().toEpochMilli() - startedAt().toEpochMilli();
+            descriptions.add(String.format("%7d ms  %s", millis, describeEvent(line)));
         }
-        told.add("conclusion: " + cause().text());
-        return told;
+        descriptions.add("conclusion: " + cause().text());
+        return descriptions;
     }
 
-    private static String sentence(final LogLine line) {
+    private static String describeEvent(final LogLine line) {
         return switch (line.code()) {
             case SENT ->
-                    "sent to backend server %s for model %s; expected to begin in %s ms, %s of its"
+                    "sent to backend server %s for model %s; expected wait %s ms, %s requests"
                                     .formatted(
                                             text(line, "server"),
                                             text(line, "model"),
                                             text(line, "expected_ms"),
                                             text(line, "running"))
-                            + " requests run there, "
+                            + " of this VM running there, "
                             + text(line, "remaining_ms")
-                            + " ms left";
-            case FAILED -> "the attempt ended: %s".formatted(text(line, "detail"));
-            case DROPPED ->
-                    "model %s gave its answer %s of 100 and was dropped for %s"
+                            + " ms until the deadline";
+            case ATTEMPT_FAILED -> "attempt failed: %s".formatted(text(line, "detail"));
+            case ANSWER_DROPPED ->
+                    "answer of model %s with confidence %s discarded; sent to model %s"
                             .formatted(
                                     text(line, "model"),
                                     text(line, "confidence"),
                                     text(line, "asked_next"));
-            case REFUSED -> "refused: %s".formatted(text(line, "reason"));
+            case REJECTED -> "rejected: %s".formatted(text(line, "reason"));
             case FINISHED ->
                     "ended as %s with status %s after %s ms; first byte after %s ms, objective %s ms"
                             .formatted(
@@ -176,9 +179,10 @@
         return end.field("outcome").orElse("");
     }
 
-    private boolean failedWith(final String detail) {
+    /** Returns whether the detail that the gateway logged for a failed attempt contains a text. */
+    private boolean attemptFailedWith(final String detail) {
         return lines.stream()
-                .filter(l -> l.code().equals(FAILED))
+                .filter(l -> l.code().equals(ATTEMPT_FAILED))
                 .anyMatch(l -> l.field("detail").orElse("").contains(detail));
     }
 
@@ -192,6 +196,6 @@
 
     @Override
     public String toString() {
-        return "RequestStory[" + id() + ", " + cause() + "]";
+        return "RequestTimeline[" + id() + ", " + cause() + "]";
     }
 }
--- a/fennelstage-ctl/src/main/java/org/fennelstage/report/ServiceReport.java
+++ b/fennelstage-ctl/src/main/java/org/fennelstage/report/ServiceReport.java
@@ -12,44 +12,44 @@
 import java.util.function.Function;
 
 /**
- * Where requests were lost or late: by route, VM, second and cause.
+ * Counts requests that were served, late or lost, by route, VM, second and cause.
  *
- * <p>Law: in each table every request is counted once. Immutable once made.
+ * <p>Invariant: each table counts every request once. Immutable and thread-safe.
  */
 public final class ServiceReport {
 
     /**
      * One row of a table.
      *
-     * @param requests how many there were
-     * @param served how many were answered, in whatever time
-     * @param inTime how many were answered in time
-     * @param causes how many were not, by cause
+     * @param requests the number of requests
+     * @param served the number of requests with a successful response, in time or late
+     * @param inTime the number of requests served in time
+     * @param causes the number of requests not served in time, by cause
      */
     public record Row(int requests, int served, int inTime, Map<Cause, Integer> causes) {
 
         /**
-         * Returns the share of an error budget that is used up.
+         * Returns the burn rate of the error budget.
          *
-         * @param promised the share of requests that is promised to be in time, below 1
-         * @return 1 when all of it is used
+         * @param sloTarget the fraction of requests required to be served in time; below 1
+         * @return the fraction of the budget that is used; above 1 if the target is missed
          */
-        public double burn(final double promised) {
+        public double burnRate(final double sloTarget) {
             final double missed = requests == 0 ? 0 : 1 - (double) inTime / requests;
-            return missed / (1 - promised);
+            return missed / (1 - sloTarget);
         }
     }
 
-    private final List<RequestStory> stories;
+    private final List<RequestTimeline> timelines;
 
-    private ServiceReport(final List<RequestStory> stories) {
-        this.stories = stories;
+    private ServiceReport(final List<RequestTimeline> timelines) {
+        this.timelines = timelines;
     }
 
     /**
-     * Returns the report on some log lines.
+     * Returns a report on the requests in a log.
      *
-     * @param lines the lines that speak of requests, of any number of VMs
+     * @param lines the events of requests, of any number of VMs, in any order
      * @return the report
      */
     public static ServiceReport of(final List<LogLine> lines) {
@@ -60,91 +60,92 @@
                 byRequest.computeIfAbsent(request.get(), r -> new ArrayList<>()).add(line);
             }
         }
-        final List<RequestStory> stories = new ArrayList<>();
-        for (final List<LogLine> ofOne : byRequest.values()) {
-            ofOne.sort(Comparator.comparing(LogLine::at));
-            stories.add(RequestStory.of(ofOne));
+        final List<RequestTimeline> timelines = new ArrayList<>();
+        for (final List<LogLine> ofRequest : byRequest.values()) {
+            ofRequest.sort(Comparator.comparing(LogLine::at));
+            timelines.add(RequestTimeline.of(ofRequest));
         }
-        stories.sort(Comparator.comparing(RequestStory::begunAt));
-        return new ServiceReport(List.copyOf(stories));
+        timelines.sort(Comparator.comparing(RequestTimeline::startedAt));
+        return new ServiceReport(List.copyOf(timelines));
     }
 
     /**
      * Finds a request.
      *
-     * @param id its id
-     * @return its story, empty if no line speaks of it
+     * @param id the id of the request
+     * @return the timeline of the request; empty if there is no event of it
      */
-    public Optional<RequestStory> find(final String id) {
-        return stories.stream().filter(s -> s.id().equals(id)).findFirst();
+    public Optional<RequestTimeline> find(final String id) {
+        return timelines.stream().filter(t -> t.id().equals(id)).findFirst();
     }
 
     /**
-     * Returns all requests in one row.
+     * Returns a row that counts all requests.
      *
      * @return the row
      */
     public Row all() {
-        return row(stories);
+        return row(timelines);
     }
 
     /**
-     * Returns a row a route.
+     * Returns one row for each route.
      *
-     * @return the rows by name
+     * @return the rows by name of the route
      */
     public Map<String, Row> byRoute() {
-        return rows(RequestStory::route);
+        return rows(RequestTimeline::route);
     }
 
     /**
-     * Returns a row a VM.
+     * Returns one row for each VM.
      *
-     * @return the rows by name
+     * @return the rows by name of the VM
      */
     public Map<String, Row> byVm() {
-        return rows(RequestStory::vm);
+        return rows(RequestTimeline::vm);
     }
 
     /**
-     * Returns a row a second since the first request.
+     * Returns one row for each second in which requests started.
      *
-     * @return the rows in the order of time
+     * @return the rows by seconds since the first request, ascending
      */
     public Map<Long, Row> bySecond() {
-        if (stories.isEmpty()) {
+        if (timelines.isEmpty()) {
             return Map.of();
         }
-        final Instant first = stories.get(0).begunAt();
-        return rows(s -> s.begunAt().getEpochSecond() - first.getEpochSecond());
+        final Instant first = timelines.get(0).startedAt();
+        return rows(t -> t.startedAt().getEpochSecond() - first.getEpochSecond());
     }
 
     /**
-     * Returns the share of requests not served in time whose cause the log does not tell.
+     * Returns the fraction of the requests not served in time whose cause is unknown.
      *
-     * @return a number in [0, 1]
+     * @return the fraction, in [0, 1]
      */
-    public double unexplained() {
+    public double unexplainedFraction() {
         final Row all = all();
-        final int missed = all.requests() - all.inTime();
-        final int open = all.causes().getOrDefault(Cause.UNEXPLAINED, 0);
-        return missed == 0 ? 0 : (double) open / missed;
+        final int notInTime = all.requests() - all.inTime();
+        final int unexplained = all.causes().getOrDefault(Cause.UNEXPLAINED, 0);
+        return notInTime == 0 ? 0 : (double) unexplained / notInTime;
     }
 
-    private <K extends Comparable<K>> Map<K, Row> rows(final Function<RequestStory, K> key) {
-        final Map<K, List<RequestStory>> grouped = new TreeMap<>();
-        stories.forEach(s -> grouped.computeIfAbsent(key.apply(s), k -> new ArrayList<>()).add(s));
+    private <K extends Comparable<K>> Map<K, Row> rows(final Function<RequestTimeline, K> key) {
+        final Map<K, List<RequestTimeline>> grouped = new TreeMap<>();
+        timelines.forEach(
+                t -> grouped.computeIfAbsent(key.apply(t), k -> new ArrayList<>()).add(t));
         final Map<K, Row> rows = new TreeMap<>();
         grouped.forEach((k, group) -> rows.put(k, row(group)));
         return rows;
     }
 
-    private static Row row(final List<RequestStory> group) {
+    private static Row row(final List<RequestTimeline> group) {
         final Map<Cause, Integer> causes = new EnumMap<>(Cause.class);
         int served = 0;
-        for (final RequestStory story : group) {
-            causes.merge(story.cause(), 1, Integer::sum);
-            served += story.isServed() ? 1 : 0;
+        for (final RequestTimeline timeline : group) {
+            causes.merge(timeline.cause(), 1, Integer::sum);
+            served += timeline.isServed() ? 1 : 0;
         }
         final Integer inTime = causes.remove(Cause.NONE);
         return new Row(group.size(), served, inTime == null ? 0 : inTime, causes);
--- a/fennelstage-ctl/src/main/java/org/fennelstage/report/package-info.java
+++ b/fennelstage-ctl/src/main/java/org/fennelstage/report/package-info.java
@@ -1,2 +1,2 @@
-/** Reads the structured logs of VMs and says where requests were lost or late, and why. */
+/** Reports, from the structured logs of VMs, which requests were late or lost and why. */
 package org.fennelstage.report;
--- a/fennelstage-ctl/src/test/java/org/fennelstage/report/ServiceReportTest.java
+++ b/fennelstage-ctl/src/test/java/org/fennelstage/report/ServiceReportTest.java
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void eachRequestHasTheFirstCauseThatFits() throws Exception {
+    void eachRequestHasTheFirstCauseThatApplies() throws Exception {
         sent("in-time");
         finished("in-time", "answered", "500");
         sent("waited");
@@ -111,16 +111,16 @@
     }
 
     @Test
-    void theBudgetOfErrorsIsUsedUpWhenAsManyMissAsArePromised() throws Exception {
+    void burnRateIsOneIfExactlyTheErrorBudgetIsUsed() throws Exception {
         for (int i = 0; i < 20; i++) {
             sent("r" + i);
             finished("r" + i, i == 0 ? "timeout" : "answered", "400");
         }
-        assertThat(report().all().burn(0.95)).isBetween(0.99, 1.01);
+        assertThat(report().all().burnRate(0.95)).isBetween(0.99, 1.01);
     }
 
     @Test
-    void linesThatAreNoEventsAreCountedAndPassedOver() throws Exception {
+    void linesThatAreNotEventsAreCountedAndSkipped() throws Exception {
         sent("r1");
         log.append("no json\n{\"cut\":\n{\"other\":1}\n");
         final LogReader reader = new LogReader();
@@ -129,12 +129,9 @@
         assertThat(reader.skipped()).isEqualTo(3);
     }
 
-    /**
-     * Symptom: the report of a day of 64 VMs ends without memory. Cause: each line was kept with a
-     * message that says all its fields again, and so were lines that no report reads.
-     */
+    /** Guards against running out of memory on the logs of many VMs. */
     @Test
-    void whatNoReportReadsIsNotKept() throws Exception {
+    void eventsAndFieldsThatNoReportUsesAreDiscarded() throws Exception {
         sent("r1");
         line("FS4016", "r1", "server", "i-1");
         line("FS2015", "-", "server", "i-1");
@@ -147,7 +144,7 @@
     }
 
     @Test
-    void theStoryOfARequestIsToldInPlainWords() throws Exception {
+    void explainDescribesTheEventsAndTheCause() throws Exception {
         sent("r1");
         line("FS4013", "r1", "detail", "i-1 silent for 900 ms");
         sent("r1");
@@ -162,7 +159,7 @@
     }
 
     @Test
-    void theReportIsWrittenAsTextJsonAndOnePageWithoutLinks() throws Exception {
+    void reportInEachFormatNamesTheRouteAndHasNoLinks() throws Exception {
         sent("r1");
         finished("r1", "timeout", "0");
         for (final ReportCommand.Format format : ReportCommand.Format.values()) {
@@ -175,7 +172,7 @@
     }
 
     private ReportCommand command(final ByteArrayOutputStream out) throws Exception {
-        return ReportCommand.reading(
+        return ReportCommand.read(
                 List.of(),
                 new ByteArrayInputStream(log.toString().getBytes(StandardCharsets.UTF_8)),
                 new PrintStream(out, true, StandardCharsets.UTF_8));
--- a/fennelstage-ctl/src/test/java/org/fennelstage/report/SessionMovesTest.java
+++ b/fennelstage-ctl/src/test/java/org/fennelstage/report/SessionVersionChangesTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-class SessionMovesTest {
+class SessionVersionChangesTest {
 
     private static LogLine sent(
             final long millis, final String vm, final String session, final String version) {
@@ -29,13 +29,13 @@
     }
 
     @Test
-    void aSessionThatChangesItsVersionIsFoundWithBothVms() {
-        final SessionMoves moves =
-                SessionMoves.of(
+    void versionChangeNamesBothVms() {
+        final SessionVersionChanges changes =
+                SessionVersionChanges.of(
                         List.of(sent(300, "vm-2", "s", "v2"), sent(100, "vm-1", "s", "v1")));
-        assertThat(moves.all()).hasSize(1);
-        assertThat(moves.all().get(0).atAnotherVm()).isTrue();
-        assertThat(moves.tell())
+        assertThat(changes.all()).hasSize(1);
+        assertThat(changes.all().get(0).isAcrossVms()).isTrue();
+        assertThat(changes.describe())
                 .containsExactly(
                         "session s went from v1 to v2 after 200 ms: request r300 at vm-2, "
                                 + "before it vm-1; by DRAWN",
@@ -44,27 +44,27 @@
     }
 
     @Test
-    void aSessionThatGoesToAndFroIsCounted() {
-        final SessionMoves moves =
-                SessionMoves.of(
+    void sessionThatChangesBackIsCounted() {
+        final SessionVersionChanges changes =
+                SessionVersionChanges.of(
                         List.of(
                                 sent(100, "vm-1", "s", "v1"),
                                 sent(200, "vm-2", "s", "v2"),
                                 sent(300, "vm-1", "s", "v1")));
-        assertThat(moves.all()).hasSize(2);
-        assertThat(moves.tell()).last().asString().endsWith("changed more than once: 1");
+        assertThat(changes.all()).hasSize(2);
+        assertThat(changes.describe()).last().asString().endsWith("changed more than once: 1");
     }
 
     @Test
-    void requestsWithoutSessionAndSessionsThatStayAreNoMoves() {
-        final SessionMoves moves =
-                SessionMoves.of(
+    void requestsWithoutSessionAndSessionsThatKeepTheirVersionAreIgnored() {
+        final SessionVersionChanges changes =
+                SessionVersionChanges.of(
                         List.of(
                                 sent(100, "vm-1", "-", "v1"),
                                 sent(200, "vm-1", "-", "v2"),
                                 sent(300, "vm-1", "s", "v2"),
                                 sent(400, "vm-2", "s", "v2"),
                                 sent(500, "vm-2", "t", "v1")));
-        assertThat(moves.all()).isEmpty();
+        assertThat(changes.all()).isEmpty();
     }
 }
