--- a/fennelstage-ctl/src/main/java/org/fennelstage/ctl/Store.java
+++ b/fennelstage-ctl/src/main/java/org/fennelstage/ctl/BlockingStore.java
@@ -15,14 +15,17 @@
 import org.fennelstage.objects.ReadResult;
 import org.fennelstage.objects.WriteResult;
 
-/** The object API as commands use it: one call after the other, failures as exceptions. */
-final class Store {
+/**
+ * Access to the object store that blocks until each call has ended and throws on failure.
+ * Thread-safe.
+ */
+final class BlockingStore {
 
-    private static final int READ_BACKS = 5;
+    private static final int MAX_WRITE_RETRIES = 5;
 
     private final ObjectStore store;
 
-    Store(final ObjectStore store) {
+    BlockingStore(final ObjectStore store) {
         this.store = store;
     }
 
@@ -33,7 +36,7 @@
             return changed.objects();
         }
         throw new CommandException(
-                Exit.REFUSED, "the object API cannot be reached; nothing was written");
+                ExitCode.REFUSED, "the object API is unavailable; nothing was written");
     }
 
     StoredObject read(final ObjectKey key) throws CommandException {
@@ -42,30 +45,31 @@
             return found.object();
         }
         throw new CommandException(
-                Exit.REFUSED, "the object API cannot be reached; nothing was written");
+                ExitCode.REFUSED, "the object API is unavailable; nothing was written");
     }
 
     /**
-     * Makes one change.
+     * Writes one change.
      *
      * @param change the change
-     * @return the new revision
-     * @throws CommandException refused if another change came first, unknown if nobody can tell
+     * @return the object's new revision
+     * @throws CommandException with {@link ExitCode#REFUSED} if the change was not written, and
+     *     with {@link ExitCode#UNKNOWN} if no response shows whether it was
      */
-    Revision make(final Change change) throws CommandException {
+    Revision apply(final Change change) throws CommandException {
         final String changeId = UUID.randomUUID().toString();
         final WriteResult result = write(change, changeId);
         if (result instanceof WriteResult.Written written) {
             return written.revision();
         }
         if (result instanceof WriteResult.Conflict conflict) {
-            throw race(change, conflict.current());
+            throw conflict(change, conflict.current());
         }
         if (result instanceof WriteResult.NotWritten notWritten) {
             throw new CommandException(
-                    Exit.REFUSED, change.key() + " was not written: " + notWritten.detail());
+                    ExitCode.REFUSED, change.key() + " was not written: " + notWritten.detail());
         }
-        return readBack(change, changeId);
+        return retryWrite(change, changeId);
     }
 
     private WriteResult write(final Change change, final String changeId) {
@@ -82,17 +86,19 @@
     }
 
     /**
-     * The answer was lost. The change id in the object tells whether the write that stands is ours;
-     * an unchanged revision does not tell that it never will, so it is written again under the same
-     * condition, which at most one of the two writes can meet.
+     * Repeats a write to which no response was received, under the same condition, which at most
+     * one of the writes can meet. On a conflict, the change id in the stored object shows whether
+     * an earlier one of these writes took effect. Reading the object would not suffice, since an
+     * unchanged revision does not exclude that a delayed write takes effect later.
      */
-    private Revision readBack(final Change change, final String changeId) throws CommandException {
-        for (int i = 0; i < READ_BACKS; i++) {
-            final WriteResult again = write(change, changeId);
-            if (again instanceof WriteResult.Written written) {
+    private Revision retryWrite(final Change change, final String changeId)
+            throws CommandException {
+        for (int i = 0; i < MAX_WRITE_RETRIES; i++) {
+            final WriteResult result = write(change, changeId);
+            if (result instanceof WriteResult.Written written) {
                 return written.revision();
             }
-            if (again instanceof WriteResult.Conflict conflict) {
+            if (result instanceof WriteResult.Conflict conflict) {
                 final StoredObject current = conflict.current();
                 final boolean isOurs =
                         change.declaration().isPresent()
@@ -103,22 +109,24 @@
                 if (isOurs) {
                     return current.revision();
                 }
-                throw race(change, current);
+                throw conflict(change, current);
             }
         }
         throw new CommandException(
-                Exit.UNKNOWN, change.key() + ": the answer was lost; run plan to see what stands");
+                ExitCode.UNKNOWN,
+                change.key()
+                        + ": no response shows whether the change was written; run plan to check");
     }
 
-    private static CommandException race(final Change change, final StoredObject current) {
+    private static CommandException conflict(final Change change, final StoredObject current) {
         return new CommandException(
-                Exit.REFUSED,
+                ExitCode.REFUSED,
                 change.key()
-                        + " was changed by someone else (revision "
+                        + " was changed concurrently (revision "
                         + current.revision()
-                        + "); it now is "
+                        + "); its current value is "
                         + describe(current)
-                        + "; it was not written");
+                        + "; the change was not written");
     }
 
     static String describe(final StoredObject object) {
--- a/fennelstage-ctl/src/main/java/org/fennelstage/ctl/Change.java
+++ b/fennelstage-ctl/src/main/java/org/fennelstage/ctl/Change.java
@@ -5,15 +5,16 @@
 import org.fennelstage.configuration.Revision;
 
 /**
- * One difference between what is declared and what is stored. Immutable and thread-safe.
+ * A write that makes one stored object equal to its declaration. Immutable and thread-safe.
  *
- * @param key the object
- * @param expected the revision that the stored object has, {@link Revision#NONE} if there is none
- * @param declaration what is to be stored, empty to delete
+ * @param key the key of the object
+ * @param expected the object's current revision; {@link Revision#NONE} if it does not exist
+ * @param declaration the declaration to store; empty to delete the object
  */
 record Change(ObjectKey key, Revision expected, Optional<Object> declaration) {
 
-    String sign() {
+    /** Returns {@code +} for a creation, {@code ~} for an update and {@code -} for a deletion. */
+    String symbol() {
         if (declaration.isEmpty()) {
             return "-";
         }
--- a/fennelstage-ctl/src/main/java/org/fennelstage/ctl/CommandException.java
+++ b/fennelstage-ctl/src/main/java/org/fennelstage/ctl/CommandException.java
@@ -1,18 +1,18 @@
 package org.fennelstage.ctl;
 
-/** A command that could not do what it was asked. */
+/** Thrown if a command fails; carries the exit code of the process. */
 final class CommandException extends Exception {
 
     private static final long serialVersionUID = 1L;
 
-    private final Exit exit;
+    private final ExitCode exitCode;
 
-    CommandException(final Exit exit, final String message) {
+    CommandException(final ExitCode exitCode, final String message) {
         super(message);
-        this.exit = exit;
+        this.exitCode = exitCode;
     }
 
-    Exit exit() {
-        return exit;
+    ExitCode exitCode() {
+        return exitCode;
     }
 }
--- a/fennelstage-ctl/src/main/java/org/fennelstage/ctl/Commands.java
+++ b/fennelstage-ctl/src/main/java/org/fennelstage/ctl/Commands.java
@@ -32,95 +32,100 @@
 import org.fennelstage.rollout.Tolerance;
 import org.fennelstage.team.KeyHash;
 
-/** What {@code fennelctl} can do. Not thread-safe. */
+/** The commands of {@code fennelctl} on declarations, rollouts and bills. Not thread-safe. */
 final class Commands {
 
-    private final Store store;
-    private final InForce inForce;
-    private final Duration wait;
+    private final BlockingStore store;
+    private final VmStatusReader vmStatus;
+    private final Duration maxWait;
     private final PrintStream out;
 
     Commands(
             final ObjectStore objects,
             final InstantSource clock,
-            final Duration wait,
+            final Duration maxWait,
             final PrintStream out) {
-        this.store = new Store(objects);
-        this.inForce = new InForce(store, clock);
-        this.wait = wait;
+        this.store = new BlockingStore(objects);
+        this.vmStatus = new VmStatusReader(store, clock);
+        this.maxWait = maxWait;
         this.out = out;
     }
 
     static void check(final Path directory, final PrintStream out) throws CommandException {
-        out.println(declared(directory).size() + " declarations are in order");
+        out.println(readDeclarations(directory).size() + " declarations are valid");
     }
 
     /**
-     * Prints a new team key and the two lines that declare it.
+     * Prints a new random team key and the two lines that declare it.
      *
-     * @param out where to
+     * @param out the stream to print to
      */
     static void teamKey(final PrintStream out) {
         final String key = "fs-" + UUID.randomUUID() + UUID.randomUUID();
         final String salt = UUID.randomUUID().toString();
-        out.println("key (give it to the team; it is stored nowhere): " + key);
+        out.println("key (give it to the team; it is not stored): " + key);
         out.println("key_salt = " + salt);
         out.println("key_hash = " + KeyHash.ofKey(salt, key).hash());
     }
 
     void plan(final Path directory) throws CommandException {
-        final List<Change> changes = changes(directory);
-        changes.forEach(this::show);
+        final List<Change> changes = planChanges(directory);
+        changes.forEach(this::print);
         out.println(changes.size() + " changes");
     }
 
     void apply(final Path directory) throws CommandException {
-        final List<Change> changes = changes(directory);
+        final List<Change> changes = planChanges(directory);
         Revision last = Revision.NONE;
-        int made = 0;
+        int written = 0;
         for (final Change change : changes) {
             try {
-                last = store.make(change);
+                last = store.apply(change);
             } catch (final CommandException e) {
                 throw new CommandException(
-                        e.exit(),
-                        e.getMessage() + "; " + made + " of " + changes.size() + " were made");
+                        e.exitCode(),
+                        e.getMessage()
+                                + "; "
+                                + written
+                                + " of "
+                                + changes.size()
+                                + " changes were written");
             }
-            show(change);
-            made++;
+            print(change);
+            written++;
         }
-        if (made == 0) {
-            out.println("nothing to change");
+        if (written == 0) {
+            out.println("no changes");
         } else {
-            awaitInForce(last);
+            awaitRevision(last);
         }
     }
 
     void status(final boolean json) throws CommandException {
-        final Map<String, Object> whole = new TreeMap<>();
-        final Map<?, ?> vms = new TreeMap<>(inForce.states());
-        whole.put("vms", vms);
-        whole.put("rollouts", progress());
+        final Map<String, Object> status = new TreeMap<>();
+        final Map<?, ?> vms = new TreeMap<>(vmStatus.states());
+        status.put("vms", vms);
+        status.put("rollouts", rolloutProgress());
         if (json) {
-            out.println(new String(Json.write(whole), java.nio.charset.StandardCharsets.UTF_8));
+            out.println(new String(Json.write(status), java.nio.charset.StandardCharsets.UTF_8));
             return;
         }
         vms.forEach((vm, state) -> out.println(vm + " " + state));
-        progress().forEach((id, state) -> out.println("rollout " + id + " " + state));
+        rolloutProgress().forEach((id, state) -> out.println("rollout " + id + " " + state));
     }
 
-    void setState(final String model, final String version, final ModelVersion.State state)
+    void setVersionState(final String model, final String version, final ModelVersion.State state)
             throws CommandException {
         final VersionId id = VersionId.of(model, version);
         final ObjectKey key = Keys.declaration(DeclarationKind.VERSION, id.toString());
         final StoredObject stored = store.read(key);
         final ModelVersion current = decode(stored, ModelVersion.class);
         if (current.state() == state) {
-            out.println(id + " is " + state + " already");
+            out.println(id + " is already " + state);
             return;
         }
-        awaitInForce(
-                store.make(
+        awaitRevision(
+                store.apply(
                         new Change(key, stored.revision(), Optional.of(current.withState(state)))));
     }
 
@@ -134,20 +139,20 @@
                         Rollout.State.RUNNING,
                         List.of(0.05, 0.25, 1.0),
                         Tolerance.DEFAULT);
-        awaitInForce(
-                store.make(
+        awaitRevision(
+                store.apply(
                         new Change(
                                 Keys.declaration(DeclarationKind.ROLLOUT, id),
                                 Revision.NONE,
                                 Optional.of(rollout))));
     }
 
-    void setRollout(final String id, final Rollout.State state) throws CommandException {
+    void setRolloutState(final String id, final Rollout.State state) throws CommandException {
         final ObjectKey key = Keys.declaration(DeclarationKind.ROLLOUT, id);
         final StoredObject stored = store.read(key);
         final Rollout current = decode(stored, Rollout.class);
-        awaitInForce(
-                store.make(
+        awaitRevision(
+                store.apply(
                         new Change(key, stored.revision(), Optional.of(current.withState(state)))));
     }
 
@@ -158,21 +163,22 @@
                     .filter(l -> !l.isBlank())
                     .forEach(l -> complete.add(RequestId.of(l.trim())));
         } catch (final IOException e) {
-            throw new CommandException(Exit.USAGE, "cannot read " + completeFile);
+            throw new CommandException(ExitCode.USAGE, "cannot read " + completeFile);
         }
         final Reconciliation result = Reconciliation.of(store, complete);
         out.println("complete requests: " + complete.size());
-        out.println("bills: " + result.bills().size() + ", stored twice: " + result.copies());
+        out.println("bills: " + result.bills().size() + ", duplicates: " + result.duplicates());
         result.unbilled().forEach(r -> out.println("complete but not billed: " + r));
-        result.unexpected().forEach(r -> out.println("billed but not known as complete: " + r));
-        result.differing().forEach(r -> out.println("two different bills: " + r));
-        final boolean isClean = result.unbilled().isEmpty() && result.differing().isEmpty();
-        if (!isClean) {
-            throw new CommandException(Exit.REFUSED, "bills and outcomes differ");
+        result.unexpected().forEach(r -> out.println("billed but not known to be complete: " + r));
+        result.conflicting().forEach(r -> out.println("two different bills: " + r));
+        final boolean isConsistent = result.unbilled().isEmpty() && result.conflicting().isEmpty();
+        if (!isConsistent) {
+            throw new CommandException(
+                    ExitCode.REFUSED, "the bills do not match the complete requests");
         }
     }
 
-    private Map<RolloutId, RolloutProgress> progress() throws CommandException {
+    private Map<RolloutId, RolloutProgress> rolloutProgress() throws CommandException {
         final Map<RolloutId, RolloutProgress> all = new TreeMap<>();
         for (final StoredObject object : store.list(Keys.ROLLOUTS)) {
             if (object.value().isPresent()) {
@@ -181,42 +187,43 @@
                             RolloutId.of(object.key().name()),
                             Json.read(object.value().get(), RolloutProgress.class));
                 } catch (final MalformedValueException e) {
-                    throw new CommandException(Exit.REFUSED, e.getMessage());
+                    throw new CommandException(ExitCode.REFUSED, e.getMessage());
                 }
             }
         }
         return all;
     }
 
-    private void awaitInForce(final Revision revision) throws CommandException {
-        final InForce.Count count = inForce.await(revision, wait);
+    private void awaitRevision(final Revision revision) throws CommandException {
+        final VmStatusReader.RevisionCount count = vmStatus.awaitRevision(revision, maxWait);
         out.println(
                 "revision "
                         + revision
                         + " is in force on "
-                        + count.have()
+                        + count.updated()
                         + " of "
-                        + count.all()
+                        + count.alive()
                         + " VMs");
     }
 
-    private List<Change> changes(final Path directory) throws CommandException {
-        return Planner.plan(declared(directory), store.list(Keys.CONFIGURATION));
+    private List<Change> planChanges(final Path directory) throws CommandException {
+        return Planner.plan(readDeclarations(directory), store.list(Keys.CONFIGURATION));
     }
 
-    private void show(final Change change) {
+    private void print(final Change change) {
         out.println(
-                change.sign()
+                change.symbol()
                         + " "
                         + change.key()
                         + change.declaration().map(d -> " " + d).orElse(""));
     }
 
-    private static Map<ObjectKey, Object> declared(final Path directory) throws CommandException {
+    private static Map<ObjectKey, Object> readDeclarations(final Path directory)
+            throws CommandException {
         try {
             return DeclarationFiles.read(directory);
         } catch (final IniException e) {
-            throw new CommandException(Exit.REFUSED, e.getMessage());
+            throw new CommandException(ExitCode.REFUSED, e.getMessage());
         }
     }
 
@@ -228,8 +235,8 @@
                 return type.cast(declaration.get());
             }
         } catch (final MalformedValueException e) {
-            throw new CommandException(Exit.REFUSED, e.getMessage());
+            throw new CommandException(ExitCode.REFUSED, e.getMessage());
         }
-        throw new CommandException(Exit.REFUSED, stored.key() + " is not declared");
+        throw new CommandException(ExitCode.REFUSED, stored.key() + " is not declared");
     }
 }
--- a/fennelstage-ctl/src/main/java/org/fennelstage/ctl/DeclarationFiles.java
+++ b/fennelstage-ctl/src/main/java/org/fennelstage/ctl/DeclarationFiles.java
@@ -37,27 +37,28 @@
 import org.fennelstage.team.Team;
 
 /**
- * Reads the declarations in a directory: all its {@code .ini} files, with sections such as {@code
+ * Reads the declarations in the {@code .ini} files of a directory, with sections such as {@code
  * [profile full-issue]}, {@code [version pero@v1]}, {@code [team editors]}, {@code [server
  * pero-1]}, {@code [rollout june]} and {@code [keys sessions]}.
  *
- * <p>Not thread-safe; one instance reads one directory.
+ * <p>Collects mistakes and reports all of them together. Not thread-safe; one instance reads one
+ * directory.
  */
 final class DeclarationFiles {
 
-    private static final double MOST = 1e9;
+    private static final double MAX_NUMBER = 1e9;
 
-    private final Map<ObjectKey, Object> found = new TreeMap<>();
+    private final Map<ObjectKey, Object> declarations = new TreeMap<>();
     private final List<String> mistakes = new ArrayList<>();
 
     private DeclarationFiles() {}
 
     /**
-     * Reads a directory.
+     * Reads all declarations in a directory.
      *
      * @param directory the directory
      * @return the declarations by key
-     * @throws IniException if there are mistakes; all are listed
+     * @throws IniException if the directory cannot be read or a file has mistakes; lists them all
      */
     static Map<ObjectKey, Object> read(final Path directory) throws IniException {
         final DeclarationFiles files = new DeclarationFiles();
@@ -74,7 +75,7 @@
         if (!files.mistakes.isEmpty()) {
             throw new IniException(files.mistakes);
         }
-        return files.found;
+        return files.declarations;
     }
 
     private void readFile(final Path path) {
@@ -92,28 +93,49 @@
     private void readSection(final IniFile ini, final String section, final Path path) {
         final String[] words = section.trim().split("\\s+");
         if (words.length != 2) {
-            ini.mistake(section, "a section needs a kind and a name");
+            ini.mistake(section, "a section is named by a kind and an id");
             return;
         }
         final String id = words[1];
         switch (words[0]) {
             case "profile" ->
-                    add(ini, section, DeclarationKind.PROFILE, id, () -> profile(ini, section, id));
+                    addDeclaration(
+                            ini,
+                            section,
+                            DeclarationKind.PROFILE,
+                            id,
+                            () -> profile(ini, section, id));
             case "version" ->
-                    add(ini, section, DeclarationKind.VERSION, id, () -> version(ini, section, id));
+                    addDeclaration(
+                            ini,
+                            section,
+                            DeclarationKind.VERSION,
+                            id,
+                            () -> version(ini, section, id));
             case "team" ->
-                    add(ini, section, DeclarationKind.TEAM, id, () -> team(ini, section, id));
+                    addDeclaration(
+                            ini, section, DeclarationKind.TEAM, id, () -> team(ini, section, id));
             case "server" ->
-                    add(
+                    addDeclaration(
                             ini,
                             section,
                             DeclarationKind.BACKEND_SERVER,
                             id,
                             () -> server(ini, section, id));
             case "rollout" ->
-                    add(ini, section, DeclarationKind.ROLLOUT, id, () -> rollout(ini, section, id));
+                    addDeclaration(
+                            ini,
+                            section,
+                            DeclarationKind.ROLLOUT,
+                            id,
+                            () -> rollout(ini, section, id));
             case "keys" ->
-                    add(ini, section, DeclarationKind.KEY_RING, id, () -> keys(ini, section, path));
+                    addDeclaration(
+                            ini,
+                            section,
+                            DeclarationKind.KEY_RING,
+                            id,
+                            () -> keys(ini, section, path));
             default ->
                     ini.mistake(
                             section,
@@ -121,19 +143,19 @@
         }
     }
 
-    private void add(
+    private void addDeclaration(
             final IniFile ini,
             final String section,
             final DeclarationKind kind,
             final String id,
-            final Supplier<Object> read) {
+            final Supplier<Object> reader) {
         try {
-            final Object declaration = read.get();
-            if (found.put(Keys.declaration(kind, id), declaration) != null) {
+            final Object declaration = reader.get();
+            if (declarations.put(Keys.declaration(kind, id), declaration) != null) {
                 ini.mistake(section, "declared twice");
             }
         } catch (final IllegalArgumentException | NullPointerException e) {
-            // A null comes from a value that is a mistake already; the rest is told here.
+            // IniFile has already reported the mistake if a value is null.
             if (e instanceof IllegalArgumentException) {
                 ini.mistake(section, e.getMessage());
             }
@@ -148,7 +170,7 @@
                 ini.millis(section, "first_token_ms", "1300"),
                 ini.millis(section, "deadline_ms", "30000"),
                 ini.oneOf(section, "idempotent", "yes", Set.of("yes", "no")).equals("yes"),
-                (int) ini.number(section, "max_tokens", "256", 1, MOST));
+                (int) ini.number(section, "max_tokens", "256", 1, MAX_NUMBER));
     }
 
     private static ModelVersion version(final IniFile ini, final String section, final String id) {
@@ -157,7 +179,7 @@
         return new ModelVersion(
                 VersionId.parse(id),
                 ModelVersion.State.valueOf(state.toUpperCase(Locale.ROOT)),
-                ini.number(section, "cost_per_1000_tokens", null, 0, MOST));
+                ini.number(section, "cost_per_1000_tokens", null, 0, MAX_NUMBER));
     }
 
     private static Team team(final IniFile ini, final String section, final String id) {
@@ -168,8 +190,8 @@
                         ini.value(section, "key_hash", null, "64 hexadecimal digits", t -> t)),
                 Set.copyOf(ini.list(section, "profiles", null, "profiles", ProfileId::of)),
                 Set.copyOf(ini.list(section, "models", null, "models", ModelId::of)),
-                ini.number(section, "requests_per_second", null, 0.001, MOST),
-                (int) ini.number(section, "concurrency_per_vm", "100", 1, MOST),
+                ini.number(section, "requests_per_second", null, 0.001, MAX_NUMBER),
+                (int) ini.number(section, "concurrency_per_vm", "100", 1, MAX_NUMBER),
                 ini.oneOf(section, "explain", "no", Set.of("yes", "no")).equals("yes"));
     }
 
@@ -189,7 +211,7 @@
                 address.getPort(),
                 new HashSet<>(ini.list(section, "versions", "", "MODEL@VERSION", VersionId::parse)),
                 service,
-                (int) ini.number(section, "slots", "8", 1, MOST),
+                (int) ini.number(section, "slots", "8", 1, MAX_NUMBER),
                 ini.oneOf(section, "leaving", "no", Set.of("yes", "no")).equals("yes"));
     }
 
@@ -209,7 +231,7 @@
                         ini.number(section, "late", "0.05", 0.0001, 0.9)));
     }
 
-    /** Secrets stay out of version control: the file names those that hold them, one key each. */
+    /** Reads each secret from a file of its own, so that the declarations hold no secrets. */
     private static KeyRing keys(final IniFile ini, final String section, final Path path) {
         final String current = ini.value(section, "current", null, "a key's id", t -> t);
         final List<String> ids = ini.list(section, "ids", null, "key ids", t -> t);
@@ -221,13 +243,13 @@
                             "secret_file_" + id,
                             null,
                             "a readable file beside this one",
-                            t -> secret(path.resolveSibling(t)));
+                            t -> readSecret(path.resolveSibling(t)));
             secrets.put(id, Objects.requireNonNull(secret, "secret is null"));
         }
         return new KeyRing(Optional.of(current), secrets);
     }
 
-    private static String secret(final Path file) {
+    private static String readSecret(final Path file) {
         try {
             return Files.readString(file).trim();
         } catch (final IOException e) {
@@ -239,7 +261,7 @@
         final Set<ModelId> models = new HashSet<>();
         final Set<VersionId> versions = new HashSet<>();
         final Set<ProfileId> profiles = new HashSet<>();
-        for (final Object declaration : found.values()) {
+        for (final Object declaration : declarations.values()) {
             if (declaration instanceof ModelVersion version) {
                 versions.add(version.id());
                 models.add(version.id().model());
@@ -247,7 +269,7 @@
                 profiles.add(profile.id());
             }
         }
-        for (final Map.Entry<ObjectKey, Object> entry : found.entrySet()) {
+        for (final Map.Entry<ObjectKey, Object> entry : declarations.entrySet()) {
             checkReferences(entry.getKey(), entry.getValue(), models, versions, profiles);
         }
     }
@@ -259,21 +281,25 @@
             final Set<VersionId> versions,
             final Set<ProfileId> profiles) {
         if (declaration instanceof Profile profile) {
-            profile.models().forEach(m -> require(key, models.contains(m), "model " + m));
+            profile.models().forEach(m -> requireDeclared(key, models.contains(m), "model " + m));
         } else if (declaration instanceof Team team) {
-            team.models().forEach(m -> require(key, models.contains(m), "model " + m));
-            team.profiles().forEach(p -> require(key, profiles.contains(p), "profile " + p));
+            team.models().forEach(m -> requireDeclared(key, models.contains(m), "model " + m));
+            team.profiles()
+                    .forEach(p -> requireDeclared(key, profiles.contains(p), "profile " + p));
         } else if (declaration instanceof BackendServer server) {
-            server.versions().forEach(v -> require(key, versions.contains(v), "version " + v));
+            server.versions()
+                    .forEach(v -> requireDeclared(key, versions.contains(v), "version " + v));
         } else if (declaration instanceof Rollout rollout) {
-            require(key, versions.contains(rollout.proven()), "version " + rollout.proven());
-            require(key, versions.contains(rollout.candidate()), "version " + rollout.candidate());
+            requireDeclared(
+                    key, versions.contains(rollout.proven()), "version " + rollout.proven());
+            requireDeclared(
+                    key, versions.contains(rollout.candidate()), "version " + rollout.candidate());
         }
     }
 
-    private void require(final ObjectKey key, final boolean isDeclared, final String what) {
+    private void requireDeclared(final ObjectKey key, final boolean isDeclared, final String what) {
         if (!isDeclared) {
-            mistakes.add(key + ": names " + what + ", which is not declared");
+            mistakes.add(key + ": refers to " + what + ", which is not declared");
         }
     }
 }
--- a/fennelstage-ctl/src/main/java/org/fennelstage/ctl/Main.java
+++ b/fennelstage-ctl/src/main/java/org/fennelstage/ctl/Main.java
@@ -23,25 +23,25 @@
 import org.fennelstage.report.ReportCommand;
 import org.fennelstage.rollout.Rollout;
 
-/** The {@code fennelctl} program. Exit codes: 0 done, 1 refused, 2 usage, 3 outcome unknown. */
+/** The {@code fennelctl} program. Its exit codes are those of {@link ExitCode}. */
 public final class Main {
 
-    private static final double CALLS_PER_SECOND = 200;
-    private static final double BURST = 200;
-    private static final Duration TIMEOUT = Duration.ofSeconds(2);
+    private static final double MAX_CALLS_PER_SECOND = 200;
+    private static final double MAX_BURST = 200;
+    private static final Duration CALL_TIMEOUT = Duration.ofSeconds(2);
 
     private Main() {}
 
     /**
-     * Runs a command.
+     * Runs a command and exits.
      *
-     * @param args the command and its options
+     * @param args the command, its arguments and its options
      */
     public static void main(final String[] args) {
         System.exit(run(args, System.out, System.err).code());
     }
 
-    static Exit run(final String[] args, final PrintStream out, final PrintStream err) {
+    static ExitCode run(final String[] args, final PrintStream out, final PrintStream err) {
         try {
             final CommandLine line = new DefaultParser().parse(options(), args);
             if (line.hasOption("help")) {
@@ -49,58 +49,60 @@
             } else {
                 execute(line, line.getArgList(), out);
             }
-            return Exit.DONE;
+            return ExitCode.DONE;
         } catch (final ParseException | IllegalArgumentException e) {
             err.println(e.getMessage());
             err.println(SubCommand.overview());
-            return Exit.USAGE;
+            return ExitCode.USAGE;
         } catch (final CommandException e) {
             err.println(e.getMessage());
-            return e.exit();
+            return e.exitCode();
         }
     }
 
-    private static String help(final List<String> words) throws ParseException {
-        if (words.isEmpty()) {
+    private static String help(final List<String> arguments) throws ParseException {
+        if (arguments.isEmpty()) {
             return SubCommand.overview();
         }
-        return SubCommand.find(words.get(0))
-                .orElseThrow(() -> new ParseException("unknown command '" + words.get(0) + "'"))
+        return SubCommand.find(arguments.get(0))
+                .orElseThrow(() -> new ParseException("unknown command '" + arguments.get(0) + "'"))
                 .help();
     }
 
     private static void execute(
-            final CommandLine line, final List<String> words, final PrintStream out)
+            final CommandLine line, final List<String> arguments, final PrintStream out)
             throws ParseException, CommandException {
-        final String command = words.isEmpty() ? "" : words.get(0);
+        final String command = arguments.isEmpty() ? "" : arguments.get(0);
         if (command.equals("check")) {
-            Commands.check(Path.of(word(words, 1)), out);
+            Commands.check(Path.of(argument(arguments, 1)), out);
         } else if (command.equals("team-key")) {
             Commands.teamKey(out);
         } else if (command.equals("report") || command.equals("explain")) {
-            readLogs(line, command, words, out);
+            readLogs(line, command, arguments, out);
         } else {
-            withStore(line, command, words, out);
+            withStore(line, command, arguments, out);
         }
     }
 
     private static void readLogs(
             final CommandLine line,
             final String command,
-            final List<String> words,
+            final List<String> arguments,
             final PrintStream out)
             throws ParseException, CommandException {
-        final boolean explains = command.equals("explain");
-        final List<Path> files = words.stream().skip(explains ? 2 : 1).map(Path::of).toList();
+        final boolean isExplain = command.equals("explain");
+        final List<Path> files = arguments.stream().skip(isExplain ? 2 : 1).map(Path::of).toList();
         try {
-            final ReportCommand logs = ReportCommand.read(files, System.in, out);
-            if (!explains) {
-                logs.report(format(line.getOptionValue("format", "text")));
-            } else if (!logs.explain(word(words, 1))) {
-                throw new CommandException(Exit.REFUSED, "no line speaks of " + word(words, 1));
+            final ReportCommand report = ReportCommand.read(files, System.in, out);
+            if (!isExplain) {
+                report.report(format(line.getOptionValue("format", "text")));
+            } else if (!report.explain(argument(arguments, 1))) {
+                throw new CommandException(
+                        ExitCode.REFUSED, "no log line mentions request " + argument(arguments, 1));
             }
         } catch (final IOException e) {
-            throw new CommandException(Exit.REFUSED, "cannot read the logs: " + e.getMessage());
+            throw new CommandException(
+                    ExitCode.REFUSED, "cannot read the log files: " + e.getMessage());
         }
     }
 
@@ -110,13 +112,13 @@
                 return format;
             }
         }
-        throw new ParseException("--format text, json or html");
+        throw new ParseException("--format must be text, json or html");
     }
 
     private static void withStore(
             final CommandLine line,
             final String command,
-            final List<String> words,
+            final List<String> arguments,
             final PrintStream out)
             throws ParseException, CommandException {
         if (line.getOptionValue("store") == null) {
@@ -128,12 +130,12 @@
                     new ObjectApiClient(
                             new HttpClient(group.next()),
                             IniFile.address(line.getOptionValue("store")),
-                            CallBudget.of(InstantSource.system(), CALLS_PER_SECOND, BURST),
-                            TIMEOUT);
-            final Duration wait =
+                            CallBudget.of(InstantSource.system(), MAX_CALLS_PER_SECOND, MAX_BURST),
+                            CALL_TIMEOUT);
+            final Duration maxWait =
                     Duration.ofMillis(Long.parseLong(line.getOptionValue("wait-ms", "10000")));
-            final Commands commands = new Commands(objects, InstantSource.system(), wait, out);
-            dispatch(commands, command, words, line);
+            final Commands commands = new Commands(objects, InstantSource.system(), maxWait, out);
+            dispatch(commands, command, arguments, line);
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         }
@@ -142,42 +144,57 @@
     private static void dispatch(
             final Commands commands,
             final String command,
-            final List<String> words,
+            final List<String> arguments,
             final CommandLine line)
             throws ParseException, CommandException {
         switch (command) {
-            case "plan" -> commands.plan(Path.of(word(words, 1)));
-            case "apply" -> commands.apply(Path.of(word(words, 1)));
+            case "plan" -> commands.plan(Path.of(argument(arguments, 1)));
+            case "apply" -> commands.apply(Path.of(argument(arguments, 1)));
             case "status" -> commands.status(line.hasOption("json"));
             case "drain" ->
-                    commands.setState(word(words, 1), word(words, 2), ModelVersion.State.DRAINING);
+                    commands.setVersionState(
+                            argument(arguments, 1),
+                            argument(arguments, 2),
+                            ModelVersion.State.DRAINING);
             case "withdraw" ->
-                    commands.setState(word(words, 1), word(words, 2), ModelVersion.State.WITHDRAWN);
+                    commands.setVersionState(
+                            argument(arguments, 1),
+                            argument(arguments, 2),
+                            ModelVersion.State.WITHDRAWN);
             case "serve" ->
-                    commands.setState(word(words, 1), word(words, 2), ModelVersion.State.SERVING);
-            case "rollout" -> rollout(commands, words);
-            case "reconcile" -> commands.reconcile(Path.of(word(words, 1)));
+                    commands.setVersionState(
+                            argument(arguments, 1),
+                            argument(arguments, 2),
+                            ModelVersion.State.SERVING);
+            case "rollout" -> rollout(commands, arguments);
+            case "reconcile" -> commands.reconcile(Path.of(argument(arguments, 1)));
             default -> throw new ParseException("unknown command '" + command + "'");
         }
     }
 
-    private static void rollout(final Commands commands, final List<String> words)
+    private static void rollout(final Commands commands, final List<String> arguments)
             throws ParseException, CommandException {
-        final String id = word(words, 2);
-        switch (word(words, 1)) {
-            case "start" -> commands.startRollout(id, word(words, 3), word(words, 4));
-            case "pause" -> commands.setRollout(id, Rollout.State.PAUSED);
-            case "resume" -> commands.setRollout(id, Rollout.State.RUNNING);
-            case "abort" -> commands.setRollout(id, Rollout.State.ABORTED);
-            default -> throw new ParseException("rollout start, pause, resume or abort");
+        final String id = argument(arguments, 2);
+        switch (argument(arguments, 1)) {
+            case "start" ->
+                    commands.startRollout(id, argument(arguments, 3), argument(arguments, 4));
+            case "pause" -> commands.setRolloutState(id, Rollout.State.PAUSED);
+            case "resume" -> commands.setRolloutState(id, Rollout.State.RUNNING);
+            case "abort" -> commands.setRolloutState(id, Rollout.State.ABORTED);
+            default ->
+                    throw new ParseException(
+                            "rollout has no action '"
+                                    + arguments.get(1)
+                                    + "'; use start, pause, resume or abort");
         }
     }
 
-    private static String word(final List<String> words, final int index) throws ParseException {
-        if (words.size() <= index) {
-            throw new ParseException("an argument is missing");
+    private static String argument(final List<String> arguments, final int index)
+            throws ParseException {
+        if (arguments.size() <= index) {
+            throw new ParseException("argument " + index + " is missing");
         }
-        return words.get(index);
+        return arguments.get(index);
     }
 
     private static Options options() {
--- a/fennelstage-ctl/src/main/java/org/fennelstage/ctl/Planner.java
+++ b/fennelstage-ctl/src/main/java/org/fennelstage/ctl/Planner.java
@@ -11,33 +11,37 @@
 import org.fennelstage.objects.Declarations;
 import org.fennelstage.objects.MalformedValueException;
 
-/** Finds the differences between declarations and what is stored. Stateless and thread-safe. */
+/**
+ * Computes the changes that make the store equal to the declarations. Stateless and thread-safe.
+ */
 final class Planner {
 
     private Planner() {}
 
     static List<Change> plan(
             final Map<ObjectKey, Object> declared, final List<StoredObject> stored) {
-        final Map<ObjectKey, StoredObject> live = new HashMap<>();
-        stored.stream().filter(o -> o.value().isPresent()).forEach(o -> live.put(o.key(), o));
+        final Map<ObjectKey, StoredObject> storedByKey = new HashMap<>();
+        stored.stream()
+                .filter(o -> o.value().isPresent())
+                .forEach(o -> storedByKey.put(o.key(), o));
         final List<Change> changes = new ArrayList<>();
         declared.forEach(
                 (key, declaration) -> {
-                    final StoredObject current = live.get(key);
+                    final StoredObject current = storedByKey.get(key);
                     if (current == null) {
                         changes.add(new Change(key, Revision.NONE, Optional.of(declaration)));
-                    } else if (!isSame(current, declaration)) {
+                    } else if (!isUnchanged(current, declaration)) {
                         changes.add(new Change(key, current.revision(), Optional.of(declaration)));
                     }
                 });
-        live.values().stream()
+        storedByKey.values().stream()
                 .filter(o -> !declared.containsKey(o.key()))
                 .sorted((a, b) -> a.key().compareTo(b.key()))
                 .forEach(o -> changes.add(new Change(o.key(), o.revision(), Optional.empty())));
         return changes;
     }
 
-    private static boolean isSame(final StoredObject current, final Object declaration) {
+    private static boolean isUnchanged(final StoredObject current, final Object declaration) {
         try {
             return Declarations.decode(current).filter(declaration::equals).isPresent();
         } catch (final MalformedValueException e) {
--- a/fennelstage-ctl/src/main/java/org/fennelstage/ctl/Reconciliation.java
+++ b/fennelstage-ctl/src/main/java/org/fennelstage/ctl/Reconciliation.java
@@ -15,60 +15,60 @@
 import org.fennelstage.objects.MalformedValueException;
 
 /**
- * Holds the stored bills against the requests that callers know to be complete. Immutable and
+ * Compares the stored bills with the requests that callers know to be complete. Immutable and
  * thread-safe.
  *
- * @param bills the bills, each request once
- * @param copies bills stored more than once, which count once
- * @param differing requests with two bills that are not the same
- * @param unbilled complete requests without a bill
- * @param unexpected bills of requests that callers do not know to be complete
+ * @param bills one bill for each billed request
+ * @param duplicates the number of further bills of the same requests
+ * @param conflicting the requests whose duplicate bills differ; once for each duplicate
+ * @param unbilled the complete requests without a bill
+ * @param unexpected the billed requests that callers do not know to be complete
  */
 record Reconciliation(
         Map<RequestId, Bill> bills,
-        int copies,
-        List<RequestId> differing,
+        int duplicates,
+        List<RequestId> conflicting,
         List<RequestId> unbilled,
         List<RequestId> unexpected) {
 
-    static Reconciliation of(final Store store, final Set<RequestId> complete)
+    static Reconciliation of(final BlockingStore store, final Set<RequestId> complete)
             throws CommandException {
         final Map<RequestId, Bill> bills = new HashMap<>();
-        final List<RequestId> differing = new ArrayList<>();
-        int copies = 0;
+        final List<RequestId> conflicting = new ArrayList<>();
+        int duplicates = 0;
         for (final StoredObject object : store.list(Keys.BILLS)) {
-            for (final Bill bill : segment(object).bills()) {
-                final Bill other = bills.putIfAbsent(bill.request(), bill);
-                if (other != null) {
-                    copies++;
-                    if (!other.equals(bill)) {
-                        differing.add(bill.request());
+            for (final Bill bill : readSegment(object).bills()) {
+                final Bill existing = bills.putIfAbsent(bill.request(), bill);
+                if (existing != null) {
+                    duplicates++;
+                    if (!existing.equals(bill)) {
+                        conflicting.add(bill.request());
                     }
                 }
             }
         }
         return new Reconciliation(
                 bills,
-                copies,
-                differing,
-                missing(complete, bills.keySet()),
-                missing(bills.keySet(), complete));
+                duplicates,
+                conflicting,
+                difference(complete, bills.keySet()),
+                difference(bills.keySet(), complete));
     }
 
-    private static BillSegment segment(final StoredObject object) throws CommandException {
+    private static BillSegment readSegment(final StoredObject object) throws CommandException {
         try {
             return object.value().isEmpty()
                     ? BillSegment.empty()
                     : Json.read(object.value().get(), BillSegment.class);
         } catch (final MalformedValueException e) {
-            throw new CommandException(Exit.REFUSED, object.key() + ": " + e.getMessage());
+            throw new CommandException(ExitCode.REFUSED, object.key() + ": " + e.getMessage());
         }
     }
 
-    private static List<RequestId> missing(
-            final Set<RequestId> wanted, final Set<RequestId> present) {
-        final Set<RequestId> missing = new HashSet<>(wanted);
-        missing.removeAll(present);
-        return missing.stream().sorted().toList();
+    private static List<RequestId> difference(
+            final Set<RequestId> requests, final Set<RequestId> excluded) {
+        final Set<RequestId> remaining = new HashSet<>(requests);
+        remaining.removeAll(excluded);
+        return remaining.stream().sorted().toList();
     }
 }
--- a/fennelstage-ctl/src/main/java/org/fennelstage/ctl/SubCommand.java
+++ b/fennelstage-ctl/src/main/java/org/fennelstage/ctl/SubCommand.java
@@ -5,20 +5,20 @@
 import java.util.Optional;
 
 /**
- * What a command of {@code fennelctl} is for, and how to call it. Immutable and thread-safe.
+ * The help text of a command of {@code fennelctl}. Immutable and thread-safe.
  *
  * <pre>{@code
  * SubCommand.find("apply").map(SubCommand::help)
  * }</pre>
  *
- * @param name its first word
- * @param usage the line that calls it, without the program's name
- * @param purpose what it does, in one line
- * @param options its options, a line each; empty if it has none
+ * @param name the name of the command
+ * @param usage the arguments and options, without the program's name
+ * @param purpose a description in one line
+ * @param options a line for each option; may be empty
  */
 record SubCommand(String name, String usage, String purpose, List<String> options) {
 
-    private static final String STORE = "--store IP:PORT   where the object API listens";
+    private static final String STORE_OPTION = "--store IP:PORT   address of the object API";
 
     /** All commands, in the order in which help lists them. */
     static final List<SubCommand> ALL =
@@ -26,68 +26,67 @@
                     new SubCommand(
                             "check",
                             "check DIR",
-                            "names every mistake in the declarations of a folder",
+                            "checks the declarations in a directory and prints every mistake",
                             List.of()),
                     new SubCommand(
                             "team-key",
                             "team-key",
-                            "draws a key for a team and prints it with the lines that declare it",
+                            "generates a team key and prints it with the lines that declare it",
                             List.of()),
                     new SubCommand(
                             "report",
                             "report [--format text|json|html] [LOG ...]",
-                            "shows where and why requests were late or lost; reads standard input"
+                            "reports where and why requests were late or lost; reads standard input"
                                     + " without LOG",
-                            List.of("--format NAME     text (as if left out), json or html")),
+                            List.of("--format NAME     text (default), json or html")),
                     new SubCommand(
                             "explain",
                             "explain REQUEST [LOG ...]",
-                            "tells the story of one request; reads standard input without LOG",
+                            "prints the events of one request; reads standard input without LOG",
                             List.of()),
                     new SubCommand(
                             "plan",
                             "--store IP:PORT plan DIR",
-                            "shows what apply would change",
-                            List.of(STORE)),
+                            "prints the changes that apply would make",
+                            List.of(STORE_OPTION)),
                     new SubCommand(
                             "apply",
                             "--store IP:PORT apply DIR [--wait-ms 10000]",
-                            "changes what differs from the declarations of a folder",
+                            "makes the stored declarations equal to those in a directory",
                             List.of(
-                                    STORE,
-                                    "--wait-ms MS      how long to wait until all VMs have it;"
-                                            + " milliseconds")),
+                                    STORE_OPTION,
+                                    "--wait-ms MS      longest wait until all VMs use the changes;"
+                                            + " milliseconds (default 10000)")),
                     new SubCommand(
                             "status",
                             "--store IP:PORT status [--json]",
-                            "shows which VM has which configuration, and the roll-outs",
-                            List.of(STORE, "--json            for other programs")),
+                            "prints the state and revision of each VM, and the rollouts",
+                            List.of(STORE_OPTION, "--json            prints JSON")),
                     new SubCommand(
                             "drain",
                             "--store IP:PORT drain MODEL VERSION",
-                            "gives a version no new sessions",
-                            List.of(STORE)),
+                            "drains a version: sends it only requests of its existing sessions",
+                            List.of(STORE_OPTION)),
                     new SubCommand(
                             "withdraw",
                             "--store IP:PORT withdraw MODEL VERSION",
-                            "gives a version nothing any more",
-                            List.of(STORE)),
+                            "takes a version out of service: sends it no requests",
+                            List.of(STORE_OPTION)),
                     new SubCommand(
                             "serve",
                             "--store IP:PORT serve MODEL VERSION",
-                            "lets a version serve",
-                            List.of(STORE)),
+                            "puts a version into service: sends it requests and new sessions",
+                            List.of(STORE_OPTION)),
                     new SubCommand(
                             "rollout",
-                            "--store IP:PORT rollout start ID PROVEN CANDIDATE | pause|resume|abort"
-                                    + " ID",
-                            "starts a roll-out, or holds, continues or ends one",
-                            List.of(STORE)),
+                            "--store IP:PORT rollout start ID CURRENT NEW | pause|resume|abort ID",
+                            "starts, pauses, resumes or aborts a rollout from CURRENT to NEW",
+                            List.of(STORE_OPTION)),
                     new SubCommand(
                             "reconcile",
                             "--store IP:PORT reconcile FILE",
-                            "compares bills with the request ids that are known as complete",
-                            List.of(STORE)));
+                            "compares the bills with a list of complete requests, one id a line",
+                            List.of(STORE_OPTION)));
 
     private static final String EXIT_CODES =
             "exit codes: 0 done, 1 refused, 2 usage, 3 outcome unknown";
@@ -102,17 +101,17 @@
     /**
      * Finds a command.
      *
-     * @param name its name
-     * @return the command, empty if there is none
+     * @param name the name
+     * @return the command; empty if there is none of this name
      */
     static Optional<SubCommand> find(final String name) {
         return ALL.stream().filter(c -> c.name().equals(name)).findFirst();
     }
 
     /**
-     * Returns what to call, for all commands.
+     * Returns the usage of all commands.
      *
-     * @return the text
+     * @return the text, several lines
      */
     static String overview() {
         final StringBuilder text = new StringBuilder();
@@ -122,16 +121,16 @@
                     .append(command.usage())
                     .append(System.lineSeparator());
         }
-        return text.append("fennelctl COMMAND --help says more of one command")
+        return text.append("fennelctl COMMAND --help describes one command")
                 .append(System.lineSeparator())
                 .append(EXIT_CODES)
                 .toString();
     }
 
     /**
-     * Returns how to call this command and what it does.
+     * Returns the usage, purpose and options of this command.
      *
-     * @return the text
+     * @return the text, several lines
      */
     String help() {
         final StringBuilder text = new StringBuilder("usage: fennelctl ").append(usage);
--- a/fennelstage-ctl/src/main/java/org/fennelstage/ctl/package-info.java
+++ b/fennelstage-ctl/src/main/java/org/fennelstage/ctl/package-info.java
@@ -1,2 +1,2 @@
-/** The {@code fennelctl} program: declarations from version control, roll-outs, reports. */
+/** The {@code fennelctl} program: applies declarations, controls rollouts, and prints reports. */
 package org.fennelstage.ctl;
--- a/fennelstage-ctl/src/test/java/org/fennelstage/ctl/SubCommandTest.java
+++ b/fennelstage-ctl/src/test/java/org/fennelstage/ctl/SubCommandTest.java
@@ -12,7 +12,7 @@
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
 
-    private Exit run(final String... args) {
+    private ExitCode run(final String... args) {
         return Main.run(
                 args,
                 new PrintStream(out, true, StandardCharsets.UTF_8),
@@ -26,30 +26,30 @@
     }
 
     @Test
-    void eachCommandSaysHowItIsCalledAndHowItEnds() {
+    void helpOfEachCommandShowsUsagePurposeAndExitCodes() {
         for (final SubCommand command : SubCommand.ALL) {
-            assertThat(run(command.name(), "--help")).as(command.name()).isEqualTo(Exit.DONE);
+            assertThat(run(command.name(), "--help")).as(command.name()).isEqualTo(ExitCode.DONE);
             assertThat(printed())
                     .contains("fennelctl " + command.usage(), command.purpose(), "exit codes: 0");
         }
     }
 
     @Test
-    void helpWithoutACommandListsAllOfThem() {
-        assertThat(run("--help")).isEqualTo(Exit.DONE);
+    void helpWithoutACommandListsAllCommands() {
+        assertThat(run("--help")).isEqualTo(ExitCode.DONE);
         final String text = printed();
         SubCommand.ALL.forEach(c -> assertThat(text).contains("fennelctl " + c.usage()));
     }
 
     @Test
-    void helpForAnUnknownCommandIsAMistakeOfTheCaller() {
-        assertThat(run("fly", "--help")).isEqualTo(Exit.USAGE);
+    void helpForAnUnknownCommandIsAUsageError() {
+        assertThat(run("fly", "--help")).isEqualTo(ExitCode.USAGE);
         assertThat(err.toString(StandardCharsets.UTF_8)).contains("unknown command 'fly'");
     }
 
     @Test
-    void aCommandWithoutItsStoreShowsTheOverview() {
-        assertThat(run("plan", "folder")).isEqualTo(Exit.USAGE);
+    void missingStoreOptionPrintsTheOverview() {
+        assertThat(run("plan", "folder")).isEqualTo(ExitCode.USAGE);
         assertThat(err.toString(StandardCharsets.UTF_8))
                 .contains("--store IP:PORT is missing", "fennelctl check DIR");
     }
