--- a/fennelstage-ctl/src/main/java/org/fennelstage/report/RequestTimeline.java
+++ b/fennelstage-ctl/src/main/java/org/fennelstage/report/RequestTimeline.java
@@ -142,13 +142,13 @@
     private static String describeEvent(final LogLine line) {
         return switch (line.code()) {
             case SENT ->
-                    "sent to backend server %s for model %s; expected wait %s ms, %s requests"
+                    "sent to backend server %s for model %s; first byte expected in %s ms, %s"
                                     .formatted(
                                             text(line, "server"),
                                             text(line, "model"),
                                             text(line, "expected_ms"),
                                             text(line, "running"))
-                            + " of this VM running there, "
+                            + " requests of this VM running there, "
                             + text(line, "remaining_ms")
                             + " ms until the deadline";
             case ATTEMPT_FAILED -> "attempt failed: %s".formatted(text(line, "detail"));
