--- a/fennelstage-bench/src/main/java/org/fennelstage/bench/CheckMain.java
+++ b/fennelstage-bench/src/main/java/org/fennelstage/bench/CheckMain.java
@@ -38,75 +38,83 @@
 import org.fennelstage.standin.ModelEngine;
 
 /**
- * Checks the promises after a run, from what callers saw (files of the load generator), what
- * engines ran and what the object API holds; never from what routers say. Prints one line a
- * promise; the exit code is the number of promises broken.
+ * Checks the guarantees to callers after a load test. Compares what callers observed (the files of
+ * {@link LoadMain}) with the requests that model engines ran and the bills in the store; does not
+ * use logs or metrics of VMs. Prints one line per guarantee; the exit code is the number of broken
+ * guarantees.
  */
 public final class CheckMain {
 
-    private static final Duration BILLS_WAIT = Duration.ofSeconds(20);
+    private static final Duration BILL_TIMEOUT = Duration.ofSeconds(20);
 
-    private final List<String> broken = new ArrayList<>();
+    private final List<String> brokenGuarantees = new ArrayList<>();
 
     private CheckMain() {}
 
     /**
-     * Checks a run.
+     * Checks all guarantees and exits.
      *
-     * @param args {@code OUT_DIR STORE ENGINE,ENGINE…}
-     * @throws IOException if a file or engine cannot be read
+     * @param args {@code OUT_DIR STORE ENGINE,…}: the output directory of the load generator, the
+     *     address of the object API and the addresses of the model engines
+     * @throws IOException if a file or an engine cannot be read
      * @throws InterruptedException if interrupted
      */
     public static void main(final String[] args) throws IOException, InterruptedException {
         LogSetup.apply(false, "warn");
         final Path out = Path.of(args[0]);
         final CheckMain check = new CheckMain();
-        final Set<String> complete = lines(out, "complete.txt");
-        final Set<String> notRun = lines(out, "not-run.txt");
-        check.executions(executions(args[2]), notRun, lines(out, "keys-complete.txt"));
-        check.bills(args[1], complete);
-        check.report("whole answers to their own requests", lines(out, "foreign.txt").size());
+        final Set<String> complete = readLines(out, "complete.txt");
+        final Set<String> notRun = readLines(out, "not-run.txt");
+        check.checkExecutions(
+                fetchExecutions(args[2]), notRun, readLines(out, "keys-complete.txt"));
+        check.checkBills(args[1], complete);
         check.report(
-                "configuration never reverts",
+                "responses are complete and belong to their requests",
+                readLines(out, "foreign.txt").size());
+        check.report(
+                "configuration revisions never decrease",
                 Integer.parseInt(Files.readString(out.resolve("reverts.txt")).trim()));
-        System.exit(check.broken.size());
+        System.exit(check.brokenGuarantees.size());
     }
 
-    private void executions(
+    private void checkExecutions(
             final List<ModelEngine.Execution> executions,
             final Set<String> notRun,
-            final Set<String> keysComplete) {
-        final Map<String, Set<String>> byKey = new HashMap<>();
+            final Set<String> completeKeys) {
+        final Map<String, Set<String>> executionsByKey = new HashMap<>();
         final Set<String> ran = new HashSet<>();
-        int untrue = 0;
-        int twice = 0;
+        int wronglyNotRun = 0;
+        int repeated = 0;
         for (final ModelEngine.Execution execution : executions) {
             if (!execution.key().isEmpty()) {
                 final boolean isNew =
-                        byKey.computeIfAbsent(execution.key(), k -> new HashSet<>())
+                        executionsByKey
+                                .computeIfAbsent(execution.key(), k -> new HashSet<>())
                                 .add(execution.request() + execution.atMillis());
-                twice += isNew && byKey.get(execution.key()).size() > 1 ? 1 : 0;
+                repeated += isNew && executionsByKey.get(execution.key()).size() > 1 ? 1 : 0;
             }
             ran.add(execution.request());
         }
         for (final String request : notRun) {
-            untrue += ran.contains(request) ? 1 : 0;
+            wronglyNotRun += ran.contains(request) ? 1 : 0;
         }
-        final long invented = keysComplete.stream().filter(k -> !byKey.containsKey(k)).count();
+        final long neverRun =
+                completeKeys.stream().filter(k -> !executionsByKey.containsKey(k)).count();
         System.out.println(
                 "  "
                         + executions.size()
-                        + " runs, "
-                        + byKey.size()
-                        + " keys, "
+                        + " executions, "
+                        + executionsByKey.size()
+                        + " idempotency keys, "
                         + notRun.size()
-                        + " refusals");
-        report("non-idempotent requests run at most once", twice);
-        report("a refusal that says not run is true", untrue);
-        report("a complete keyed request ran", (int) invented);
+                        + " requests rejected as not run");
+        report("non-idempotent requests run at most once", repeated);
+        report("requests rejected as not run did not run", wronglyNotRun);
+        report("complete requests with an idempotency key ran", (int) neverRun);
     }
 
-    private void bills(final String store, final Set<String> complete) throws InterruptedException {
+    private void checkBills(final String store, final Set<String> complete)
+            throws InterruptedException {
         final EventLoopGroup group = new NioEventLoopGroup(1);
         final ObjectApiClient client =
                 new ObjectApiClient(
@@ -114,41 +122,41 @@
                         IniFile.address(store),
                         CallBudget.of(InstantSource.system(), 100, 100),
                         Duration.ofSeconds(5));
-        final long deadline = System.nanoTime() + BILLS_WAIT.toNanos();
+        final long deadline = System.nanoTime() + BILL_TIMEOUT.toNanos();
         Map<String, Bill> bills = new HashMap<>();
-        int differing = 0;
-        int copies = 0;
+        int conflicting = 0;
+        int duplicates = 0;
         while (System.nanoTime() < deadline && !bills.keySet().containsAll(complete)) {
             bills = new HashMap<>();
-            differing = 0;
-            copies = 0;
-            for (final Bill bill : stored(client)) {
-                final Bill other = bills.putIfAbsent(bill.request().value(), bill);
-                copies += other == null ? 0 : 1;
-                differing += other == null || other.equals(bill) ? 0 : 1;
+            conflicting = 0;
+            duplicates = 0;
+            for (final Bill bill : readBills(client)) {
+                final Bill previous = bills.putIfAbsent(bill.request().value(), bill);
+                duplicates += previous == null ? 0 : 1;
+                conflicting += previous == null || previous.equals(bill) ? 0 : 1;
             }
             TimeUnit.MILLISECONDS.sleep(300);
         }
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         final Set<String> unbilled = new HashSet<>(complete);
         unbilled.removeAll(bills.keySet());
-        final Set<String> unseen = new HashSet<>(bills.keySet());
-        unseen.removeAll(complete);
+        final Set<String> notReceived = new HashSet<>(bills.keySet());
+        notReceived.removeAll(complete);
         System.out.println(
                 "  "
                         + complete.size()
                         + " complete answers, "
                         + bills.size()
                         + " bills, "
-                        + copies
-                        + " copies, "
-                        + unseen.size()
-                        + " billed answers whose end the caller did not see");
+                        + duplicates
+                        + " duplicate bills, "
+                        + notReceived.size()
+                        + " bills of answers that no caller received completely");
         report("every complete answer is billed", unbilled.size());
-        report("no request has two different bills", differing);
+        report("no request has two different bills", conflicting);
     }
 
-    private static List<Bill> stored(final ObjectApiClient client) {
+    private static List<Bill> readBills(final ObjectApiClient client) {
         final ChangesResult result =
                 client.changes(Keys.BILLS, Revision.NONE, Duration.ZERO, CallPriority.NORMAL)
                         .join();
@@ -165,22 +173,22 @@
         return bills;
     }
 
-    private void report(final String promise, final int violations) {
+    private void report(final String guarantee, final int violations) {
         if (violations > 0) {
-            broken.add(promise);
+            brokenGuarantees.add(guarantee);
         }
         System.out.println(
                 (violations == 0 ? "kept    " : "BROKEN  ")
-                        + promise
+                        + guarantee
                         + (violations == 0 ? "" : ": " + violations));
     }
 
-    private static List<ModelEngine.Execution> executions(final String engines)
+    private static List<ModelEngine.Execution> fetchExecutions(final String engines)
             throws IOException, InterruptedException {
         final HttpClient http = HttpClient.newHttpClient();
         final List<ModelEngine.Execution> all = new ArrayList<>();
-        for (final String text : engines.split(",")) {
-            final InetSocketAddress address = IniFile.address(text);
+        for (final String engine : engines.split(",")) {
+            final InetSocketAddress address = IniFile.address(engine);
             final HttpRequest request =
                     HttpRequest.newBuilder(
                                     URI.create(
@@ -196,7 +204,7 @@
         return all;
     }
 
-    private static Set<String> lines(final Path out, final String file) throws IOException {
+    private static Set<String> readLines(final Path out, final String file) throws IOException {
         return Arrays.stream(Files.readString(out.resolve(file)).split("\n"))
                 .filter(l -> !l.isBlank())
                 .collect(Collectors.toSet());
--- a/fennelstage-bench/src/main/java/org/fennelstage/bench/DecisionBenchmark.java
+++ b/fennelstage-bench/src/main/java/org/fennelstage/bench/DecisionBenchmark.java
@@ -31,7 +31,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** Times single decisions. Run with {@code bin/bench jmh}. */
+/** Times single routing and rollout decisions. Run with {@code bin/bench jmh}. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -40,21 +40,21 @@
 @Fork(1)
 public class DecisionBenchmark {
 
-    private static final int AFFINE = 4;
+    private static final int CANDIDATES = 4;
 
-    /** The workers among which one is chosen. */
+    /** The number of backend servers to select from. */
     @Param({"13", "67", "600"})
     public int workers;
 
-    private final int[] best = new int[AFFINE];
-    private final ServerSelector affinity = ServerSelector.boundedAffinity(1.25);
+    private final int[] candidates = new int[CANDIDATES];
+    private final ServerSelector affinitySelector = ServerSelector.boundedAffinity(1.25);
     private ServerLoads loads;
     private Configuration configuration;
     private Team team;
     private Evidence evidence;
     private long prefix;
 
-    /** Prepares loads, eleven versions and some evidence. */
+    /** Prepares random loads, eleven model versions and evidence on a new version. */
     @Setup
     public void setUp() {
         final SplittableRandom random = new SplittableRandom(5);
@@ -81,27 +81,27 @@
         evidence = Evidence.of(900, new long[] {900, 300, 900, 900}, new long[] {9, 15, 0, 10});
     }
 
-    /** Finds the candidates to ask for a slot. */
+    /** Finds the backend servers with the highest affinity to a prompt prefix. */
     @Benchmark
     public int candidates() {
-        ServerSelector.firstByAffinity(loads, prefix++, best);
-        return best[0];
+        ServerSelector.firstByAffinity(loads, prefix++, candidates);
+        return candidates[0];
     }
 
-    /** Chooses a worker by bounded affinity. */
+    /** Selects a backend server by bounded affinity. */
     @Benchmark
     public int boundedAffinity() {
-        return affinity.choose(loads, prefix++);
+        return affinitySelector.choose(loads, prefix++);
     }
 
-    /** Chooses the version of a request. */
+    /** Chooses the model version of a request. */
     @Benchmark
     public VersionChooser.Choice version() {
         return VersionChooser.choose(
                 configuration, team, ModelId.of("m0"), r -> VersionChooser.Status.RUNNING);
     }
 
-    /** Judges a candidate version. */
+    /** Evaluates the evidence on a new version. */
     @Benchmark
     public Verdict verdict() {
         return ExposurePolicy.DEFAULT.evaluate(evidence, Tolerance.DEFAULT, 1, 0.3);
--- a/fennelstage-bench/src/main/java/org/fennelstage/bench/ExposureMain.java
+++ b/fennelstage-bench/src/main/java/org/fennelstage/bench/ExposureMain.java
@@ -20,80 +20,104 @@
 import org.fennelstage.rollout.Tolerance;
 
 /**
- * Measures how many requests a bad version gets until it is halted, over the whole fleet, and how
- * many good roll-outs are halted, with the real keepers and three policies on the same arrivals:
- *
- * <ul>
- *   <li>per-vm: each VM sends the step's share and halts for itself at 5 failures in 20 or more;
- *   <li>pooled: VMs send the step's share and halt on the evidence of all, one second late;
- *   <li>shares: the product: every exposure needs a granted share.
- * </ul>
+ * Compares rollout policies by simulation: how many requests the fleet sends to a bad new version
+ * until the rollout is halted, and how many rollouts of good versions are halted. The policy of the
+ * product runs with its {@link RolloutKeeper}s.
  */
 public final class ExposureMain {
 
     private static final int DATA_CENTRES = 9;
-    private static final double REQUESTS_PER_VM = 3;
-    private static final double ANSWER_SECONDS = 3;
-    private static final double RATING_SECONDS = 10;
+    private static final double REQUESTS_PER_VM_SECOND = 3;
+    private static final double MEAN_RESPONSE_SECONDS = 3;
+    private static final double MEAN_RATING_SECONDS = 10;
     private static final double RATED_SHARE = 0.3;
-    private static final double MOST_SECONDS = 1800;
-    private static final int PER_VM_SAMPLE = 20;
-    private static final int PER_VM_FAILURES = 5;
+    private static final double BASE_ERROR_RATE = 0.01;
+    private static final double BASE_POOR_RATE = 0.05;
+    private static final double MAX_SECONDS = 1800;
+    private static final int PER_VM_MIN_JUDGED = 20;
+    private static final int PER_VM_MIN_BAD = 5;
+    private static final double PER_VM_STEP_SECONDS = 120;
+    private static final double PER_VM_ROLLOUT_SECONDS = 600;
     private static final Tolerance TOLERANCE = Tolerance.DEFAULT;
-    private static final List<Double> STEPS = List.of(0.05, 0.25, 1.0);
+    private static final List<Double> STEP_FRACTIONS = List.of(0.05, 0.25, 1.0);
 
     private enum Policy {
+        /** Each VM halts on its own evidence; steps pass after a fixed time. */
         PER_VM,
+        /** The evidence of all VMs is evaluated every second. */
         POOLED,
+        /** The policy of the product: every exposure has to be granted by a keeper. */
         SHARES
     }
 
+    /**
+     * A request becomes judged on one signal.
+     *
+     * @param due the virtual time; seconds
+     * @param dataCentre the index of the data centre
+     * @param vm the index of the VM that sent the request
+     * @param signal the signal
+     * @param isBad whether it is judged bad
+     */
     private record Event(double due, int dataCentre, int vm, Signal signal, boolean isBad) {}
 
+    /**
+     * The end of a simulated rollout.
+     *
+     * @param exposed the number of requests sent to the new version
+     * @param halted whether the rollout was halted
+     * @param done whether the rollout was completed
+     * @param seconds the virtual time of the end; seconds
+     */
     private record Result(long exposed, boolean halted, boolean done, double seconds) {}
 
     private ExposureMain() {}
 
     /**
-     * Prints the table.
+     * Prints a row for each policy, fleet size and failure rate.
      *
-     * @param args {@code [RUNS [GOOD_RUNS]]}
+     * @param args {@code [RUNS [GOOD_RUNS]]}: the number of rollouts per row, and of rollouts of
+     *     good versions
      */
     public static void main(final String[] args) {
         LogSetup.apply(false, "error");
         final int runs = args.length > 0 ? Integer.parseInt(args[0]) : 40;
         final int goodRuns = args.length > 1 ? Integer.parseInt(args[1]) : 1000;
         System.out.println(
-                "policy nodes signal worse_by runs halted exposed_p50 exposed_max seconds_p50");
-        for (final int nodes : new int[] {9, 370}) {
+                "policy vms signal added_failure_rate runs halted exposed_p50 exposed_max seconds_p50");
+        for (final int vmCount : new int[] {9, 370}) {
             for (final Signal signal : new Signal[] {Signal.ERROR, Signal.POOR_RATING}) {
-                for (final double worse : new double[] {0.01, 0.05, 0.2, 1.0}) {
+                for (final double addedFailureRate : new double[] {0.01, 0.05, 0.2, 1.0}) {
                     for (final Policy policy : Policy.values()) {
-                        row(policy, nodes, signal, worse, runs);
+                        printRow(policy, vmCount, signal, addedFailureRate, runs);
                     }
                 }
             }
         }
         int falseHalts = 0;
         for (int run = 0; run < goodRuns; run++) {
-            falseHalts += run(Policy.SHARES, 90, Signal.ERROR, 0, 10_000 + run).halted() ? 1 : 0;
+            falseHalts +=
+                    simulate(Policy.SHARES, 90, Signal.ERROR, 0, 10_000 + run).halted() ? 1 : 0;
         }
         System.out.println(
-                "false halts of shares in " + goodRuns + " good roll-outs: " + falseHalts);
-        cutOff(runs);
+                "false halts with SHARES in "
+                        + goodRuns
+                        + " rollouts of good versions: "
+                        + falseHalts);
+        printIsolatedDataCentre(runs);
     }
 
-    private static void row(
+    private static void printRow(
             final Policy policy,
-            final int nodes,
+            final int vmCount,
             final Signal signal,
-            final double worse,
+            final double addedFailureRate,
             final int runs) {
         final long[] exposed = new long[runs];
         final double[] seconds = new double[runs];
         int halted = 0;
         for (int run = 0; run < runs; run++) {
-            final Result result = run(policy, nodes, signal, worse, run);
+            final Result result = simulate(policy, vmCount, signal, addedFailureRate, run);
             exposed[run] = result.exposed();
             seconds[run] = result.seconds();
             halted += result.halted() ? 1 : 0;
@@ -103,9 +127,9 @@
         System.out.printf(
                 "%s %d %s %.2f %d %d %d %d %.0f%n",
                 policy,
-                nodes,
+                vmCount,
                 signal,
-                worse,
+                addedFailureRate,
                 runs,
                 halted,
                 exposed[runs / 2],
@@ -113,36 +137,40 @@
                 seconds[runs / 2]);
     }
 
-    private static Result run(
+    private static Result simulate(
             final Policy policy,
-            final int nodes,
+            final int vmCount,
             final Signal signal,
-            final double worse,
+            final double addedFailureRate,
             final long seed) {
-        return new Trial(policy, nodes, signal, worse, seed).play();
+        return new Simulation(policy, vmCount, signal, addedFailureRate, seed).run();
     }
 
-    /** The platform goes down 20 s after the start; one data centre hears no halt either. */
-    private static void cutOff(final int runs) {
+    /**
+     * Prints the exposures while the store is unavailable from 20 s after the start, and one data
+     * centre does not receive halts of the others.
+     */
+    private static void printIsolatedDataCentre(final int runs) {
         final long[] exposed = new long[runs];
         for (int run = 0; run < runs; run++) {
-            final Trial trial = new Trial(Policy.SHARES, 90, Signal.POOR_RATING, 1, run);
-            trial.platformDownAfter = 20;
-            trial.deafDataCentre = 0;
-            exposed[run] = trial.play().exposed();
+            final Simulation simulation =
+                    new Simulation(Policy.SHARES, 90, Signal.POOR_RATING, 1, run);
+            simulation.storeUnavailableAfter = 20;
+            simulation.isolatedDataCentre = 0;
+            exposed[run] = simulation.run().exposed();
         }
         Arrays.sort(exposed);
         System.out.println(
-                "shares, 90 nodes, all answers poor, platform down after 20 s, one data centre cut"
-                        + " off: exposed p50 "
+                "SHARES, 90 VMs, all answers poor, store unavailable after 20 s, one data centre"
+                        + " isolated: exposed p50 "
                         + exposed[runs / 2]
                         + " max "
                         + exposed[runs - 1]);
     }
 
-    private static final class Trial {
+    private static final class Simulation {
         private final Policy policy;
-        private final int nodes;
+        private final int vmCount;
         private final double errorRate;
         private final double poorRate;
         private final SplittableRandom random;
@@ -150,45 +178,49 @@
                 new PriorityQueue<>((a, b) -> Double.compare(a.due(), b.due()));
         private final MemoryObjectStore store = MemoryObjectStore.empty();
         private final List<RolloutKeeper> keepers = new ArrayList<>();
-        private final Evidence[] byVm;
+        private final Evidence[] evidenceByVm;
         private final boolean[] vmHalted;
-        private final boolean[] dcHalted = new boolean[DATA_CENTRES];
-        private double platformDownAfter = Double.POSITIVE_INFINITY;
-        private int deafDataCentre = -1;
+        private final boolean[] dataCentreHalted = new boolean[DATA_CENTRES];
+        private double storeUnavailableAfter = Double.POSITIVE_INFINITY;
+        private int isolatedDataCentre = -1;
         private double now;
         private long exposed;
         private int step;
         private boolean halted;
         private boolean done;
 
-        Trial(
+        Simulation(
                 final Policy policy,
-                final int nodes,
+                final int vmCount,
                 final Signal signal,
-                final double worse,
+                final double addedFailureRate,
                 final long seed) {
             this.policy = policy;
-            this.nodes = nodes;
+            this.vmCount = vmCount;
             this.random = new SplittableRandom(seed);
-            this.errorRate = Math.min(1, 0.01 + (signal == Signal.ERROR ? worse : 0));
-            this.poorRate = Math.min(1, 0.05 + (signal == Signal.POOR_RATING ? worse : 0));
-            this.byVm = new Evidence[nodes];
-            this.vmHalted = new boolean[nodes];
-            Arrays.fill(byVm, Evidence.none());
+            this.errorRate =
+                    Math.min(1, BASE_ERROR_RATE + (signal == Signal.ERROR ? addedFailureRate : 0));
+            this.poorRate =
+                    Math.min(
+                            1,
+                            BASE_POOR_RATE + (signal == Signal.POOR_RATING ? addedFailureRate : 0));
+            this.evidenceByVm = new Evidence[vmCount];
+            this.vmHalted = new boolean[vmCount];
+            Arrays.fill(evidenceByVm, Evidence.none());
             final Rollout rollout =
                     new Rollout(
                             RolloutId.of("r"),
                             VersionId.of("m", "v1"),
                             VersionId.of("m", "v2"),
                             Rollout.State.RUNNING,
-                            STEPS,
+                            STEP_FRACTIONS,
                             TOLERANCE);
             final InstantSource clock = () -> Instant.ofEpochMilli((long) (now * 1000));
-            for (int dc = 0; dc < DATA_CENTRES; dc++) {
+            for (int dataCentre = 0; dataCentre < DATA_CENTRES; dataCentre++) {
                 keepers.add(
                         new RolloutKeeper(
                                 rollout,
-                                DataCentreId.of("dc-" + dc),
+                                DataCentreId.of("dc-" + dataCentre),
                                 store,
                                 clock,
                                 ExposurePolicy.DEFAULT,
@@ -196,124 +228,127 @@
             }
         }
 
-        Result play() {
-            final double rate = nodes * REQUESTS_PER_VM;
+        Result run() {
+            final double rate = vmCount * REQUESTS_PER_VM_SECOND;
             double nextTick = 1;
             double nextArrival = 0;
-            while (now < MOST_SECONDS && !halted && !done) {
-                final double event = events.isEmpty() ? Double.MAX_VALUE : events.peek().due();
-                now = Math.min(Math.min(nextTick, nextArrival), event);
+            while (now < MAX_SECONDS && !halted && !done) {
+                final double nextEvent = events.isEmpty() ? Double.MAX_VALUE : events.peek().due();
+                now = Math.min(Math.min(nextTick, nextArrival), nextEvent);
                 if (now == nextTick) {
-                    tick();
+                    onTick();
                     nextTick += 1;
-                } else if (now == event) {
-                    judge(events.poll());
+                } else if (now == nextEvent) {
+                    onEvent(events.poll());
                 } else {
-                    arrive(random.nextInt(nodes));
+                    onArrival(random.nextInt(vmCount));
                     nextArrival = now - Math.log(1 - random.nextDouble()) / rate;
                 }
             }
-            final double end = now;
-            return new Result(exposed, halted, done, end);
+            final double endSeconds = now;
+            return new Result(exposed, halted, done, endSeconds);
         }
 
-        private void arrive(final int vm) {
-            final int dc = vm % DATA_CENTRES;
-            if (vmHalted[vm] || dcHalted[dc] || random.nextDouble() >= STEPS.get(step)) {
+        private void onArrival(final int vm) {
+            final int dataCentre = vm % DATA_CENTRES;
+            if (vmHalted[vm]
+                    || dataCentreHalted[dataCentre]
+                    || random.nextDouble() >= STEP_FRACTIONS.get(step)) {
                 return;
             }
-            if (policy == Policy.SHARES && !keepers.get(dc).request().granted()) {
+            if (policy == Policy.SHARES && !keepers.get(dataCentre).request().granted()) {
                 return;
             }
             exposed++;
-            byVm[vm] = byVm[vm].plusExposed();
+            evidenceByVm[vm] = evidenceByVm[vm].plusExposed();
             events.add(
                     new Event(
-                            now + exponential(ANSWER_SECONDS),
-                            dc,
+                            now + exponential(MEAN_RESPONSE_SECONDS),
+                            dataCentre,
                             vm,
                             Signal.ERROR,
                             random.nextDouble() < errorRate));
             if (random.nextDouble() < RATED_SHARE) {
                 events.add(
                         new Event(
-                                now + ANSWER_SECONDS + exponential(RATING_SECONDS),
-                                dc,
+                                now + MEAN_RESPONSE_SECONDS + exponential(MEAN_RATING_SECONDS),
+                                dataCentre,
                                 vm,
                                 Signal.POOR_RATING,
                                 random.nextDouble() < poorRate));
             }
         }
 
-        private void judge(final Event event) {
-            byVm[event.vm()] = byVm[event.vm()].plus(event.signal(), event.isBad());
+        private void onEvent(final Event event) {
+            evidenceByVm[event.vm()] = evidenceByVm[event.vm()].plus(event.signal(), event.isBad());
             if (policy == Policy.PER_VM) {
-                final Evidence own = byVm[event.vm()];
-                final long judged = own.judged(Signal.ERROR) + own.judged(Signal.POOR_RATING);
-                final long bad = own.bad(Signal.ERROR) + own.bad(Signal.POOR_RATING);
-                vmHalted[event.vm()] = judged >= PER_VM_SAMPLE && bad >= PER_VM_FAILURES;
+                final Evidence evidence = evidenceByVm[event.vm()];
+                final long judged =
+                        evidence.judged(Signal.ERROR) + evidence.judged(Signal.POOR_RATING);
+                final long bad = evidence.bad(Signal.ERROR) + evidence.bad(Signal.POOR_RATING);
+                vmHalted[event.vm()] = judged >= PER_VM_MIN_JUDGED && bad >= PER_VM_MIN_BAD;
             }
         }
 
-        private void tick() {
+        private void onTick() {
             switch (policy) {
-                case PER_VM -> tickPerVm();
-                case POOLED -> tickPooled();
-                default -> tickShares();
+                case PER_VM -> haltPerVm();
+                case POOLED -> evaluatePooled();
+                default -> runKeepers();
             }
         }
 
-        private void tickPerVm() {
+        private void haltPerVm() {
             halted = true;
-            for (final boolean vm : vmHalted) {
-                halted &= vm;
+            for (final boolean isHalted : vmHalted) {
+                halted &= isHalted;
             }
             advanceByTime();
         }
 
-        private void tickPooled() {
+        private void evaluatePooled() {
             Evidence total = Evidence.none();
-            for (final Evidence evidence : byVm) {
+            for (final Evidence evidence : evidenceByVm) {
                 total = total.plus(evidence);
             }
             final var verdict =
                     ExposurePolicy.DEFAULT.evaluate(total, TOLERANCE, step, RATED_SHARE);
             halted = verdict.halt().isPresent();
             if (!halted && verdict.passed()) {
-                done = step == STEPS.size() - 1;
-                step = Math.min(step + 1, STEPS.size() - 1);
+                done = step == STEP_FRACTIONS.size() - 1;
+                step = Math.min(step + 1, STEP_FRACTIONS.size() - 1);
             }
         }
 
         private void advanceByTime() {
-            step = Math.min(STEPS.size() - 1, (int) (now / 120));
-            done = now > 600;
+            step = Math.min(STEP_FRACTIONS.size() - 1, (int) (now / PER_VM_STEP_SECONDS));
+            done = now > PER_VM_ROLLOUT_SECONDS;
         }
 
-        private void tickShares() {
-            for (int vm = 0; vm < nodes; vm++) {
-                keepers.get(vm % DATA_CENTRES).report("vm-" + vm, byVm[vm]);
+        private void runKeepers() {
+            for (int vm = 0; vm < vmCount; vm++) {
+                keepers.get(vm % DATA_CENTRES).report("vm-" + vm, evidenceByVm[vm]);
             }
             boolean anyHalt = false;
-            for (int dc = 0; dc < DATA_CENTRES; dc++) {
-                if (now < platformDownAfter) {
-                    keepers.get(dc).tick();
+            for (int dataCentre = 0; dataCentre < DATA_CENTRES; dataCentre++) {
+                if (now < storeUnavailableAfter) {
+                    keepers.get(dataCentre).tick();
                 }
-                final var progress = keepers.get(dc).judged();
+                final var progress = keepers.get(dataCentre).judged();
                 anyHalt |= progress.halted().isPresent();
-                step = Math.max(step, Math.min(progress.step(), STEPS.size() - 1));
+                step = Math.max(step, Math.min(progress.step(), STEP_FRACTIONS.size() - 1));
                 done |= progress.done();
             }
             if (anyHalt) {
-                Arrays.fill(dcHalted, true);
-                if (deafDataCentre >= 0) {
-                    dcHalted[deafDataCentre] =
-                            keepers.get(deafDataCentre).judged().halted().isPresent();
+                Arrays.fill(dataCentreHalted, true);
+                if (isolatedDataCentre >= 0) {
+                    dataCentreHalted[isolatedDataCentre] =
+                            keepers.get(isolatedDataCentre).judged().halted().isPresent();
                 }
             }
             halted = true;
-            for (final boolean dc : dcHalted) {
-                halted &= dc;
+            for (final boolean isHalted : dataCentreHalted) {
+                halted &= isHalted;
             }
         }
 
--- a/fennelstage-bench/src/main/java/org/fennelstage/bench/FleetMain.java
+++ b/fennelstage-bench/src/main/java/org/fennelstage/bench/FleetMain.java
@@ -8,8 +8,9 @@
 import org.fennelstage.policy.Policy;
 
 /**
- * What each mechanism of deciding is worth: the real decisions of several VMs before model engines
- * in virtual time, with and without it, at several loads and sizes.
+ * Measures the effect of each routing mechanism. Simulates VMs and backend servers in virtual time,
+ * with all mechanisms and without each one, at several loads and fleet sizes. Decisions are made by
+ * the code of the product.
  */
 public final class FleetMain {
 
@@ -25,7 +26,7 @@
     private FleetMain() {}
 
     /**
-     * Prints the table.
+     * Prints the results of each simulation.
      *
      * @param args none
      */
@@ -58,7 +59,7 @@
         }
         final double share = results.stream().mapToDouble(Result::share).average().orElse(0);
         System.out.printf(
-                "vms %d workers %d load %.1f %-24s worth %.4f, %d tokens read%n",
+                "vms %d servers %d load %.1f %-24s value %.4f, %d prompt tokens read%n",
                 vms, workers, scale * 13 / workers, name, share, results.get(0).tokensRead());
         results.get(0).tallies().forEach(t -> System.out.println("    " + t));
     }
--- a/fennelstage-bench/src/main/java/org/fennelstage/bench/JmhMain.java
+++ b/fennelstage-bench/src/main/java/org/fennelstage/bench/JmhMain.java
@@ -2,15 +2,15 @@
 
 import java.io.IOException;
 
-/** Runs the benchmarks of decisions. */
+/** Runs the JMH benchmarks of this module. */
 public final class JmhMain {
 
     private JmhMain() {}
 
     /**
-     * Runs them.
+     * Runs the benchmarks that the options select.
      *
-     * @param args JMH's own options
+     * @param args the options of JMH
      * @throws IOException if results cannot be written
      */
     public static void main(final String[] args) throws IOException {
--- a/fennelstage-bench/src/main/java/org/fennelstage/bench/LoadMain.java
+++ b/fennelstage-bench/src/main/java/org/fennelstage/bench/LoadMain.java
@@ -32,22 +32,23 @@
 
 /**
  * An open-loop load generator: requests are due at the times of a seeded Poisson process, whether
- * or not earlier ones have ended. Watches the configuration revision of each VM meanwhile.
+ * or not earlier ones have ended. Meanwhile polls the configuration revision of each VM. Prints a
+ * summary at the end.
  */
 public final class LoadMain {
 
-    private static final int LOOPS = 4;
-    private static final long DRAIN_SECONDS = 60;
-    private static final long WATCH_MILLIS = 200;
+    private static final int EVENT_LOOPS = 4;
+    private static final long MAX_DRAIN_SECONDS = 60;
+    private static final long STATUS_POLL_MILLIS = 200;
 
-    private final LoadTally tally = new LoadTally();
-    private final EventLoopGroup group = new NioEventLoopGroup(LOOPS);
+    private final LoadStatistics statistics = new LoadStatistics();
+    private final EventLoopGroup group = new NioEventLoopGroup(EVENT_LOOPS);
     private final List<HttpClient> clients = new ArrayList<>();
-    private final AtomicInteger open = new AtomicInteger();
-    private final Map<String, Long> revisions = new HashMap<>();
+    private final AtomicInteger inFlight = new AtomicInteger();
+    private final Map<String, Long> revisionByVm = new HashMap<>();
 
     private LoadMain() {
-        for (int i = 0; i < LOOPS; i++) {
+        for (int i = 0; i < EVENT_LOOPS; i++) {
             clients.add(new HttpClient(group.next()));
         }
     }
@@ -55,8 +56,9 @@
     /**
      * Generates load.
      *
-     * @param args {@code --targets A,B --rate R --seconds S --mix zvezdna|compensa --team T
-     *     [--direct MODEL@VERSION] [--admin A,B] [--out DIR] [--seed N]}
+     * @param args {@code --targets HOST:PORT,… --team TEAM [--rate PER_SECOND] [--seconds S] [--mix
+     *     zvezdna|compensa] [--kind PROFILE] [--direct MODEL@VERSION] [--admin HOST:PORT,…] [--out
+     *     DIR] [--seed N]}
      * @throws ParseException if an option is wrong
      * @throws IOException if the results cannot be written
      */
@@ -77,9 +79,9 @@
         final List<InetSocketAddress> targets = addresses(line.getOptionValue("targets"));
         final double rate = Double.parseDouble(line.getOptionValue("rate", "50"));
         final double seconds = Double.parseDouble(line.getOptionValue("seconds", "10"));
-        final LoadKind[] mix = mix(line);
+        final RequestKind[] mix = mix(line);
         final long seed = Long.parseLong(line.getOptionValue("seed", "1"));
-        watch(addresses(line.getOptionValue("admin", "")));
+        pollStatus(addresses(line.getOptionValue("admin", "")));
         generate(
                 targets,
                 rate,
@@ -91,29 +93,29 @@
         drain();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
         if (line.hasOption("out")) {
-            tally.write(Path.of(line.getOptionValue("out")));
+            statistics.write(Path.of(line.getOptionValue("out")));
         }
-        System.out.print(tally.summary(seconds));
+        System.out.print(statistics.summary(seconds));
     }
 
-    private static LoadKind[] mix(final CommandLine line) {
-        final LoadKind[] mix =
+    private static RequestKind[] mix(final CommandLine line) {
+        final RequestKind[] mix =
                 line.getOptionValue("mix", "zvezdna").equals("zvezdna")
-                        ? LoadKind.ZVEZDNA
-                        : LoadKind.COMPENSA;
+                        ? RequestKind.ZVEZDNA
+                        : RequestKind.COMPENSA;
         if (!line.hasOption("kind")) {
             return mix;
         }
         return Arrays.stream(mix)
                 .filter(k -> k.profile().equals(line.getOptionValue("kind")))
-                .toArray(LoadKind[]::new);
+                .toArray(RequestKind[]::new);
     }
 
     private void generate(
             final List<InetSocketAddress> targets,
             final double rate,
             final double seconds,
-            final LoadKind[] mix,
+            final RequestKind[] mix,
             final String team,
             final String direct,
             final long seed) {
@@ -124,52 +126,52 @@
         long number = seed * 1_000_000;
         while (due < end) {
             due += (long) (-Math.log(1 - random.nextDouble()) / rate * 1e9);
-            final LoadKind kind = LoadKind.pick(mix, random.nextDouble());
+            final RequestKind kind = RequestKind.pick(mix, random.nextDouble());
             waitUntil(due);
-            final HttpClient client = clients.get((int) (number % LOOPS));
-            open.incrementAndGet();
+            final HttpClient client = clients.get((int) (number % EVENT_LOOPS));
+            inFlight.incrementAndGet();
             final LoadRequest request =
                     new LoadRequest(
                             client,
-                            tally,
+                            statistics,
                             kind,
                             targets,
                             team,
                             direct,
                             number,
                             due,
-                            open::decrementAndGet);
+                            inFlight::decrementAndGet);
             client.eventLoop().execute(request::send);
             number++;
         }
     }
 
     private void drain() {
-        final long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(DRAIN_SECONDS);
-        while (open.get() > 0 && System.nanoTime() < deadline) {
+        final long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_DRAIN_SECONDS);
+        while (inFlight.get() > 0 && System.nanoTime() < deadline) {
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(10));
         }
-        for (int i = 0; i < open.get(); i++) {
-            tally.outcome("open-at-the-end");
+        for (int i = 0; i < inFlight.get(); i++) {
+            statistics.recordOutcome("in-flight-at-end");
         }
     }
 
-    private void watch(final List<InetSocketAddress> admins) {
+    private void pollStatus(final List<InetSocketAddress> admins) {
         final HttpClient client = clients.get(0);
         client.eventLoop()
                 .scheduleWithFixedDelay(
-                        () -> admins.forEach(a -> look(client, a)),
+                        () -> admins.forEach(a -> requestStatus(client, a)),
                         0,
-                        WATCH_MILLIS,
+                        STATUS_POLL_MILLIS,
                         TimeUnit.MILLISECONDS);
     }
 
-    private void look(final HttpClient client, final InetSocketAddress admin) {
+    private void requestStatus(final HttpClient client, final InetSocketAddress admin) {
         client.send(
                 admin,
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/status"),
                 CallOptions.DEFAULT,
-                Responses.collecting(whole -> onStatus(admin, whole.body()), failure -> {}));
+                Responses.collecting(response -> onStatus(admin, response.body()), failure -> {}));
     }
 
     private void onStatus(final InetSocketAddress admin, final byte[] body) {
@@ -177,34 +179,34 @@
             final JsonNode status = Json.mapper().readTree(body);
             final long revision = status.path("revision").asLong();
             if (!status.path("ready").asBoolean()) {
-                revisions.remove(admin.toString());
+                revisionByVm.remove(admin.toString());
                 return;
             }
-            final Long before = revisions.put(admin.toString(), revision);
-            if (before != null && revision < before) {
-                tally.revert();
+            final Long previous = revisionByVm.put(admin.toString(), revision);
+            if (previous != null && revision < previous) {
+                statistics.recordRevisionDecrease();
             }
         } catch (final IOException e) {
-            // A half-written answer of a VM that was just killed says nothing.
+            // A VM that is killed may leave a truncated response.
             return;
         }
     }
 
     private static void waitUntil(final long nanos) {
-        long left = nanos - System.nanoTime();
-        while (left > 0) {
-            if (left > 100_000) {
-                LockSupport.parkNanos(left - 60_000);
+        long remaining = nanos - System.nanoTime();
+        while (remaining > 0) {
+            if (remaining > 100_000) {
+                LockSupport.parkNanos(remaining - 60_000);
             } else {
                 Thread.onSpinWait();
             }
-            left = nanos - System.nanoTime();
+            remaining = nanos - System.nanoTime();
         }
     }
 
     private static List<InetSocketAddress> addresses(final String text) {
         return Arrays.stream(text.split(","))
-                .filter(t -> !t.isEmpty())
+                .filter(a -> !a.isEmpty())
                 .map(IniFile::address)
                 .toList();
     }
--- a/fennelstage-bench/src/main/java/org/fennelstage/bench/LoadRequest.java
+++ b/fennelstage-bench/src/main/java/org/fennelstage/bench/LoadRequest.java
@@ -18,31 +18,32 @@
 import org.fennelstage.http.ResponseListener;
 
 /**
- * One request of a caller, with the repetitions that a careful caller makes: after a refusal that
- * says "not run", and, with an idempotency key, after any doubt. Confined to one event loop.
+ * One request of a simulated caller, including its retries. An idempotent request is retried after
+ * any failure. A request with an idempotency key is retried if it was rejected as not run or if the
+ * connection failed. Not thread-safe; confined to the event loop of its client.
  */
 final class LoadRequest {
 
-    private static final int MOST_TRIES = 6;
-    private static final long PAUSE_MILLIS = 500;
-    private static final CallOptions OPTIONS =
+    private static final int MAX_ATTEMPTS = 6;
+    private static final long RETRY_DELAY_MILLIS = 500;
+    private static final CallOptions CALL_OPTIONS =
             CallOptions.of(Duration.ofSeconds(1), Duration.ofSeconds(70), false);
 
     private final HttpClient client;
-    private final LoadTally tally;
-    private final LoadKind kind;
+    private final LoadStatistics statistics;
+    private final RequestKind kind;
     private final List<InetSocketAddress> targets;
     private final String team;
     private final String directModel;
     private final long number;
     private final long dueNanos;
     private final Runnable onEnd;
-    private int tries;
+    private int attempts;
 
     LoadRequest(
             final HttpClient client,
-            final LoadTally tally,
-            final LoadKind kind,
+            final LoadStatistics statistics,
+            final RequestKind kind,
             final List<InetSocketAddress> targets,
             final String team,
             final String directModel,
@@ -50,7 +51,7 @@
             final long dueNanos,
             final Runnable onEnd) {
         this.client = client;
-        this.tally = tally;
+        this.statistics = statistics;
         this.kind = kind;
         this.targets = targets;
         this.team = team;
@@ -61,9 +62,9 @@
     }
 
     void send() {
-        final InetSocketAddress target = targets.get((int) ((number + tries) % targets.size()));
-        tries++;
-        client.send(target, request(), OPTIONS, new Answer());
+        final InetSocketAddress target = targets.get((int) ((number + attempts) % targets.size()));
+        attempts++;
+        client.send(target, request(), CALL_OPTIONS, new ResponseCollector());
     }
 
     private FullHttpRequest request() {
@@ -86,94 +87,94 @@
                         "/v1/chat/completions",
                         Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
         request.headers().set("authorization", "Bearer " + team + "-key");
-        if (kind.onceOnly()) {
-            request.headers().set("idempotency-key", key());
+        if (kind.nonIdempotent()) {
+            request.headers().set("idempotency-key", idempotencyKey());
         }
         return request;
     }
 
-    private String key() {
+    private String idempotencyKey() {
         return "load-" + number;
     }
 
-    private long micros() {
+    private long microsSinceDue() {
         return (System.nanoTime() - dueNanos) / 1000;
     }
 
-    private void again(final String outcome) {
-        if (tries >= MOST_TRIES) {
-            tally.outcome("gave-up-after-" + outcome);
+    private void retry(final String cause) {
+        if (attempts >= MAX_ATTEMPTS) {
+            statistics.recordOutcome("gave-up-after-" + cause);
             onEnd.run();
             return;
         }
-        tally.outcome("repeated-after-" + outcome);
-        client.eventLoop().schedule(this::send, PAUSE_MILLIS, TimeUnit.MILLISECONDS);
+        statistics.recordOutcome("retried-after-" + cause);
+        client.eventLoop().schedule(this::send, RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private void finish(final String outcome) {
-        tally.outcome(outcome);
+        statistics.recordOutcome(outcome);
         onEnd.run();
     }
 
-    private final class Answer implements ResponseListener {
+    private final class ResponseCollector implements ResponseListener {
         private final StringBuilder text = new StringBuilder();
         private int status;
-        private String request = "";
-        private boolean begun;
+        private String requestId = "";
+        private boolean hasContent;
 
         @Override
         public void onHead(final int newStatus, final HttpHeaders headers) {
             status = newStatus;
-            request = headers.get("x-request-id", "");
+            requestId = headers.get("x-request-id", "");
         }
 
         @Override
         public void onContent(final ByteBuf content) {
-            if (!begun && status == 200) {
-                begun = true;
-                tally.firstToken(micros());
+            if (!hasContent && status == 200) {
+                hasContent = true;
+                statistics.recordFirstToken(microsSinceDue());
             }
             text.append(content.toString(StandardCharsets.UTF_8));
         }
 
         @Override
         public void onEnd() {
-            final String all = text.toString();
-            if (status == 200 && all.contains("data: [DONE]")) {
-                onWhole(all);
-            } else if (all.contains("refused-not-run")) {
-                tally.notRun(request);
-                again("not-run");
-            } else if (kind.onceOnly()) {
-                finish(all.contains("already ran") ? "already-ran" : "unknown");
+            final String body = text.toString();
+            if (status == 200 && body.contains("data: [DONE]")) {
+                onComplete(body);
+            } else if (body.contains("refused-not-run")) {
+                statistics.recordNotRun(requestId);
+                retry("not-run");
+            } else if (kind.nonIdempotent()) {
+                finish(body.contains("already ran") ? "already-ran" : "unknown");
             } else {
-                again("failed");
+                retry("failed");
             }
         }
 
         @Override
         public void onFailure(final CallFailure failure) {
             if (failure.phase() == CallFailure.Phase.NOT_SENT) {
-                again("refused-connection");
-            } else if (kind.onceOnly()) {
-                // A doubt: the same key at another router either runs it or tells what became of
-                // it.
-                again("broken-connection-with-key");
+                retry("not-sent");
+            } else if (kind.nonIdempotent()) {
+                // The request may have run. Another VM runs it, or returns its outcome, under the
+                // same key.
+                retry("connection-failed-with-key");
             } else {
-                again("broken-connection");
+                retry("connection-failed");
             }
         }
 
-        private void onWhole(final String all) {
-            final boolean isOwn = all.contains("[[r=" + number + "]]");
-            final boolean isWhole =
-                    all.contains("token" + (kind.tokens() - 1) + " ") || kind.tokens() == 1;
-            if (!isOwn || !isWhole) {
-                tally.foreign(request);
+        private void onComplete(final String body) {
+            final boolean isForThisRequest = body.contains("[[r=" + number + "]]");
+            final boolean isComplete =
+                    body.contains("token" + (kind.tokens() - 1) + " ") || kind.tokens() == 1;
+            if (!isForThisRequest || !isComplete) {
+                statistics.recordMismatch(requestId);
             }
-            tally.complete(request, micros());
-            if (kind.onceOnly()) {
-                tally.keyComplete(key());
+            statistics.recordComplete(requestId, microsSinceDue());
+            if (kind.nonIdempotent()) {
+                statistics.recordCompleteKey(idempotencyKey());
             }
             finish("complete");
         }
--- a/fennelstage-bench/src/main/java/org/fennelstage/bench/SlopesMain.java
+++ b/fennelstage-bench/src/main/java/org/fennelstage/bench/SlopesMain.java
@@ -29,16 +29,21 @@
 import org.fennelstage.standin.ObjectApiStandIn;
 
 /**
- * Measures what an idle VM spends on control, and how that grows with the VMs of its data centre
- * and with the declared objects: peer bytes and messages, processor time, heap, calls to the object
- * API, and how long a change takes to be in force on all.
+ * Measures the cost of coordination on idle VMs, and how it grows with the number of VMs in a data
+ * centre and of declared objects: peer messages and their bytes, processor time, heap, calls to the
+ * store, and the time until all VMs have a configuration change.
  */
 public final class SlopesMain {
 
     private static final String HOST = "127.0.0.1";
-    private static final int SECONDS = 15;
-    private static final int CHANGES = 20;
-    private static final OperatingSystemMXBean SYSTEM =
+    private static final int SETTLE_SECONDS = 5;
+    private static final int MEASURED_SECONDS = 15;
+    private static final int CHANGE_COUNT = 20;
+
+    /** The processor time of 1 % of a core during one second. */
+    private static final double NANOS_PER_CORE_PERCENT = 1e7;
+
+    private static final OperatingSystemMXBean OPERATING_SYSTEM =
             (OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
 
     private SlopesMain() {}
@@ -46,7 +51,7 @@
     /**
      * Prints a row for each size.
      *
-     * @param args {@code [VMS,OBJECTS …]}
+     * @param args {@code [VMS,OBJECTS …]}: the numbers of VMs and of declared objects
      * @throws IOException if an address cannot be bound
      * @throws InterruptedException if interrupted
      */
@@ -58,7 +63,7 @@
                         : new String[] {"3,100", "9,100", "27,100", "54,100", "9,1000", "9,4000"};
         System.out.println(
                 "vms objects bytes_per_s msgs_per_s cpu_percent_of_core heap_kb_per_vm"
-                        + " platform_reads_per_s watches_per_s writes_per_s in_force_p50_ms in_force_max_ms");
+                        + " store_reads_per_s watches_per_s writes_per_s propagation_p50_ms propagation_max_ms");
         for (final String size : sizes) {
             final String[] parts = size.split(",");
             measure(Integer.parseInt(parts[0]), Integer.parseInt(parts[1]));
@@ -66,89 +71,95 @@
         System.exit(0);
     }
 
-    private static void measure(final int vms, final int objects)
+    private static void measure(final int vmCount, final int objectCount)
             throws IOException, InterruptedException {
         final EventLoopGroup group = new NioEventLoopGroup(2);
         final MemoryObjectStore store = MemoryObjectStore.empty();
         final ObjectApiStandIn api =
                 ObjectApiStandIn.start(group, new InetSocketAddress(HOST, 0), store, 1);
-        for (int i = 0; i < objects; i++) {
+        for (int i = 0; i < objectCount; i++) {
             declare(store, i, 8);
         }
-        final long heapBefore = usedHeap();
-        final List<RouterNode> nodes = new ArrayList<>();
-        for (int i = 0; i < vms; i++) {
-            nodes.add(start(i, nodes, api.port()));
+        final long heapBytesBefore = usedHeapBytes();
+        final List<RouterNode> vms = new ArrayList<>();
+        for (int i = 0; i < vmCount; i++) {
+            vms.add(startVm(i, vms, api.port()));
         }
-        while (nodes.stream().anyMatch(n -> n.members().dutyVms().size() < vms || !n.isReady())) {
+        while (vms.stream()
+                .anyMatch(vm -> vm.members().dutyVms().size() < vmCount || !vm.isReady())) {
             TimeUnit.MILLISECONDS.sleep(50);
         }
-        TimeUnit.SECONDS.sleep(5);
-        final long heap = usedHeap() - heapBefore;
-        final long bytes = nodes.stream().mapToLong(n -> n.network().bytesSent()).sum();
-        final long messages = nodes.stream().mapToLong(n -> n.network().messagesSent()).sum();
-        final long cpu = SYSTEM.getProcessCpuTime();
-        final ObjectApiStandIn.Counts calls = api.counts();
-        TimeUnit.SECONDS.sleep(SECONDS);
-        final long cpuUsed = SYSTEM.getProcessCpuTime() - cpu;
-        final ObjectApiStandIn.Counts later = api.counts();
-        final double perVm = (double) SECONDS * vms;
+        TimeUnit.SECONDS.sleep(SETTLE_SECONDS);
+        final long heapBytes = usedHeapBytes() - heapBytesBefore;
+        final long bytesBefore = vms.stream().mapToLong(vm -> vm.network().bytesSent()).sum();
+        final long messagesBefore = vms.stream().mapToLong(vm -> vm.network().messagesSent()).sum();
+        final long cpuNanosBefore = OPERATING_SYSTEM.getProcessCpuTime();
+        final ObjectApiStandIn.Counts callsBefore = api.counts();
+        TimeUnit.SECONDS.sleep(MEASURED_SECONDS);
+        final long cpuNanos = OPERATING_SYSTEM.getProcessCpuTime() - cpuNanosBefore;
+        final ObjectApiStandIn.Counts callsAfter = api.counts();
+        final double vmSeconds = (double) MEASURED_SECONDS * vmCount;
         final double byteRate =
-                (nodes.stream().mapToLong(n -> n.network().bytesSent()).sum() - bytes) / perVm;
+                (vms.stream().mapToLong(vm -> vm.network().bytesSent()).sum() - bytesBefore)
+                        / vmSeconds;
         final double messageRate =
-                (nodes.stream().mapToLong(n -> n.network().messagesSent()).sum() - messages)
-                        / perVm;
-        final long[] inForce = inForce(store, nodes);
+                (vms.stream().mapToLong(vm -> vm.network().messagesSent()).sum() - messagesBefore)
+                        / vmSeconds;
+        final long[] propagationMillis = measurePropagation(store, vms);
         System.out.printf(
                 "%d %d %.0f %.1f %.2f %d %.2f %.2f %.2f %d %d%n",
-                vms,
-                objects,
+                vmCount,
+                objectCount,
                 byteRate,
                 messageRate,
-                cpuUsed / 1e7 / perVm,
-                heap / 1024 / vms,
-                (double) (later.reads() - calls.reads()) / SECONDS,
-                (double) (later.watches() - calls.watches()) / SECONDS,
-                (double) (later.writes() - calls.writes()) / SECONDS,
-                inForce[CHANGES / 2],
-                inForce[CHANGES - 1]);
-        nodes.forEach(RouterNode::close);
+                cpuNanos / NANOS_PER_CORE_PERCENT / vmSeconds,
+                heapBytes / 1024 / vmCount,
+                (double) (callsAfter.reads() - callsBefore.reads()) / MEASURED_SECONDS,
+                (double) (callsAfter.watches() - callsBefore.watches()) / MEASURED_SECONDS,
+                (double) (callsAfter.writes() - callsBefore.writes()) / MEASURED_SECONDS,
+                propagationMillis[CHANGE_COUNT / 2],
+                propagationMillis[CHANGE_COUNT - 1]);
+        vms.forEach(RouterNode::close);
         api.close();
         store.close();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
 
-    /** Changes one object again and again; returns the sorted times until all VMs have it. */
-    private static long[] inForce(final MemoryObjectStore store, final List<RouterNode> nodes)
-            throws InterruptedException {
-        final long[] millis = new long[CHANGES];
-        for (int i = 0; i < CHANGES; i++) {
+    /**
+     * Changes one object repeatedly and measures the time until all VMs have each change.
+     *
+     * @return the times, sorted; milliseconds
+     */
+    private static long[] measurePropagation(
+            final MemoryObjectStore store, final List<RouterNode> vms) throws InterruptedException {
+        final long[] propagationMillis = new long[CHANGE_COUNT];
+        for (int i = 0; i < CHANGE_COUNT; i++) {
             final long start = System.nanoTime();
             final Revision revision = declare(store, 0, 9 + i);
-            while (nodes.stream()
-                    .anyMatch(n -> revision.isAfter(n.configuration().digest().highest()))) {
+            while (vms.stream()
+                    .anyMatch(vm -> revision.isAfter(vm.configuration().digest().highest()))) {
                 TimeUnit.MICROSECONDS.sleep(500);
             }
-            millis[i] = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
+            propagationMillis[i] = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
         }
-        java.util.Arrays.sort(millis);
-        return millis;
+        java.util.Arrays.sort(propagationMillis);
+        return propagationMillis;
     }
 
-    private static RouterNode start(
-            final int index, final List<RouterNode> nodes, final int objectPort)
+    private static RouterNode startVm(
+            final int index, final List<RouterNode> vms, final int objectApiPort)
             throws IOException {
         final List<InetSocketAddress> seeds =
-                nodes.stream()
+                vms.stream()
                         .limit(3)
-                        .map(n -> new InetSocketAddress(HOST, n.peerPort()))
+                        .map(vm -> new InetSocketAddress(HOST, vm.peerPort()))
                         .toList();
         final Settings settings =
                 new Settings(
                         new Settings.Vm(VmId.of("vm-" + index), DataCentreId.of("dc")),
                         new Settings.Listen(HOST, 0, HOST, 0, 0),
                         new Settings.Platform(
-                                new InetSocketAddress(HOST, objectPort),
+                                new InetSocketAddress(HOST, objectApiPort),
                                 20,
                                 60,
                                 Duration.ofSeconds(1)),
@@ -185,7 +196,7 @@
         return store.current(key).revision();
     }
 
-    private static long usedHeap() throws InterruptedException {
+    private static long usedHeapBytes() throws InterruptedException {
         for (int i = 0; i < 3; i++) {
             System.gc();
             TimeUnit.MILLISECONDS.sleep(50);
--- a/fennelstage-bench/src/main/java/org/fennelstage/bench/package-info.java
+++ b/fennelstage-bench/src/main/java/org/fennelstage/bench/package-info.java
@@ -1,5 +1,4 @@
 /**
- * Load generator, checker of promises, and yardsticks for decisions. Nothing here is part of the
- * product.
+ * Load generator, checker and benchmarks, run with {@code bin/bench NAME}. Not part of the product.
  */
 package org.fennelstage.bench;
