--- a/fennelstage-bench/src/main/java/org/fennelstage/bench/FleetMain.java
+++ b/fennelstage-bench/src/main/java/org/fennelstage/bench/FleetMain.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.fennelstage.bench.engine.Play;
-import org.fennelstage.bench.engine.Result;
+import org.fennelstage.bench.engine.Simulation;
+import org.fennelstage.bench.engine.SimulationResult;
 import org.fennelstage.policy.Mechanism;
 import org.fennelstage.policy.Policy;
 
@@ -49,17 +49,18 @@
             final double scale,
             final String name,
             final Policy policy) {
-        final List<Result> results = new ArrayList<>();
+        final List<SimulationResult> results = new ArrayList<>();
         for (int seed = 1; seed <= SEEDS; seed++) {
             results.add(
-                    Play.of(
-                            Play.Setup.longBesideShort(
+                    Simulation.run(
+                            Simulation.Setup.longAndShortPrompts(
                                     vms, workers, scale, SECONDS, policy, seed)));
         }
-        final double share = results.stream().mapToDouble(Result::share).average().orElse(0);
+        final double share =
+                results.stream().mapToDouble(SimulationResult::valueShare).average().orElse(0);
         System.out.printf(
                 "vms %d workers %d load %.1f %-24s worth %.4f, %d tokens read%n",
-                vms, workers, scale * 13 / workers, name, share, results.get(0).tokensRead());
-        results.get(0).tallies().forEach(t -> System.out.println("    " + t));
+                vms, workers, scale * 13 / workers, name, share, results.get(0).promptTokensRead());
+        results.get(0).stats().forEach(t -> System.out.println("    " + t));
     }
 }
--- a/fennelstage-bench/src/main/java/org/fennelstage/bench/engine/EngineSpec.java
+++ b/fennelstage-bench/src/main/java/org/fennelstage/bench/engine/EngineSpec.java
@@ -1,23 +1,23 @@
 package org.fennelstage.bench.engine;
 
 /**
- * How fast a model engine is. Immutable and thread-safe.
+ * The capacity and speed of a model engine. Immutable and thread-safe.
  *
- * @param batch how many requests run at once; further ones wait
- * @param stepMillis one step of one request at pace 1, in which it gets a token; milliseconds
- * @param stepMillisPerRequest what each further request adds to a step; milliseconds
- * @param tokensPerMilli tokens of a prompt read in a millisecond at pace 1
- * @param chunkTokens tokens of a prompt read between two steps
- * @param cacheTokens tokens of shared parts that stay in memory
+ * @param maxBatchSize requests that run at the same time; further ones wait
+ * @param stepMillis fixed time of a decoding step at time factor 1; milliseconds
+ * @param stepMillisPerRequest additional time of a step for each decoding request; milliseconds
+ * @param promptTokensPerMilli prompt tokens read in a millisecond at time factor 1
+ * @param promptChunkTokens prompt tokens read in one step
+ * @param promptCacheTokens capacity of the prompt cache; tokens
  */
 public record EngineSpec(
-        int batch,
+        int maxBatchSize,
         double stepMillis,
         double stepMillisPerRequest,
-        double tokensPerMilli,
-        int chunkTokens,
-        int cacheTokens) {
+        double promptTokensPerMilli,
+        int promptChunkTokens,
+        int promptCacheTokens) {
 
-    /** A large model on four accelerators, with room for 48 requests. */
+    /** A large model on four accelerators. */
     public static final EngineSpec LARGE = new EngineSpec(48, 3.1, 0.017, 60, 2_048, 300_000);
 }
--- a/fennelstage-bench/src/main/java/org/fennelstage/bench/engine/PlayedVm.java
+++ b/fennelstage-bench/src/main/java/org/fennelstage/bench/engine/SimulatedVm.java
@@ -18,41 +18,45 @@
 import org.fennelstage.sizing.ConfidenceGains;
 import org.fennelstage.time.MonotonicClock;
 
-/** One VM's beliefs and decisions in a play. Confined to it. */
-final class PlayedVm {
+/** Holds the estimates and decision classes of one VM. Confined to one simulation. */
+final class SimulatedVm {
 
-    /** Reports of load a VM hears in a second at most, as in the real one. */
-    private static final double HEARD_PER_SECOND = 40;
+    /** Limits of load reports as in {@code org.fennelstage.vm.LoadReports}. */
+    private static final double MAX_RECEIVED_PER_SECOND = 40;
 
-    private static final double SHORTEST_REPORT_MILLIS = 100;
-    private static final double LONGEST_REPORT_MILLIS = 500;
+    private static final double MIN_PERIOD_MILLIS = 100;
+    private static final double MAX_PERIOD_MILLIS = 500;
 
-    private final Play play;
+    private final Simulation simulation;
     private final VmId id;
     private final MonotonicClock clock;
     private final LoadBoard board;
     private final Placement placement;
     private final List<TrackedServer> servers;
-    private final Map<ModelId, LatencyEstimator> paces = new HashMap<>();
-    private final Map<Kind, ConfidenceGains> opinions = new HashMap<>();
+    private final Map<ModelId, LatencyEstimator> latencyEstimators = new HashMap<>();
+    private final Map<RequestKind, ConfidenceGains> confidenceGains = new HashMap<>();
 
-    PlayedVm(final Play play, final VmId id, final DataCentreId dataCentre, final long seed) {
-        this.play = play;
+    SimulatedVm(
+            final Simulation simulation,
+            final VmId id,
+            final DataCentreId dataCentre,
+            final long seed) {
+        this.simulation = simulation;
         this.id = id;
-        this.clock = () -> (long) play.clockwork().now();
+        this.clock = () -> (long) simulation.eventQueue().nowMillis();
         this.board = LoadBoard.of(clock, () -> 1);
         this.placement = Placement.of(dataCentre, new SplittableRandom(seed), board);
         this.servers =
-                play.entries().stream()
+                simulation.entries().stream()
                         .map(e -> TrackedServer.of(e, clock, Reachability.of(clock)))
                         .toList();
     }
 
-    /** Begins to tell the others what this VM has at the workers, if it does. */
+    /** Starts periodic load reports to the other VMs if the policy enables them. */
     void start() {
-        if (play.setup().policy().uses(Mechanism.LOAD_REPORTS)) {
-            final double period = 1_000 * play.setup().vms() / HEARD_PER_SECOND;
-            reportEvery(Math.min(LONGEST_REPORT_MILLIS, Math.max(SHORTEST_REPORT_MILLIS, period)));
+        if (simulation.setup().policy().uses(Mechanism.LOAD_REPORTS)) {
+            final double period = 1_000 * simulation.setup().vms() / MAX_RECEIVED_PER_SECOND;
+            reportEvery(Math.min(MAX_PERIOD_MILLIS, Math.max(MIN_PERIOD_MILLIS, period)));
         }
     }
 
@@ -68,14 +72,15 @@
         return servers;
     }
 
-    LatencyEstimator pace(final ModelId model) {
-        return paces.computeIfAbsent(model, m -> new LatencyEstimator());
+    LatencyEstimator latencyEstimator(final ModelId model) {
+        return latencyEstimators.computeIfAbsent(model, m -> new LatencyEstimator());
     }
 
-    ConfidenceGains opinions(final Kind kind) {
-        return opinions.computeIfAbsent(kind, k -> ConfidenceGains.empty());
+    ConfidenceGains confidenceGains(final RequestKind kind) {
+        return confidenceGains.computeIfAbsent(kind, k -> ConfidenceGains.empty());
     }
 
+    /** Returns the load of this VM on each backend server with running requests. */
     Map<BackendServerId, Load> loads() {
         final Map<BackendServerId, Load> loads = new HashMap<>();
         servers.stream()
@@ -84,16 +89,17 @@
         return loads;
     }
 
-    void hear(final VmId other, final Map<BackendServerId, Load> loads) {
-        board.onReport(other, loads);
+    void onLoadReport(final VmId sender, final Map<BackendServerId, Load> loads) {
+        board.onReport(sender, loads);
     }
 
     private void reportEvery(final double periodMillis) {
-        play.clockwork()
-                .after(
+        simulation
+                .eventQueue()
+                .schedule(
                         periodMillis,
                         () -> {
-                            play.report(this);
+                            simulation.broadcastLoads(this);
                             reportEvery(periodMillis);
                         });
     }
--- a/spec/guards/run.py
+++ b/spec/guards/run.py
@@ -167,7 +167,7 @@
      "InactivityTest"),
     ("few-workers-are-compared", CORE + "placement/Placement.java",
      "i < Math.min(RANDOM_CANDIDATES, servers.size())", "i < Math.min(100 * RANDOM_CANDIDATES, servers.size())",
-     "PlayTest"),
+     "SimulationTest"),
     ("refusal-needs-knowledge", CORE + "attempt/LatencyEstimator.java",
      "return samples >= MIN_SAMPLES;", "return samples >= MIN_SAMPLES - 10;",
      "LatencyEstimatorTest,StreamPathTest"),
