--- a/spec/guards/run.py
+++ b/spec/guards/run.py
@@ -1,7 +1,12 @@
 #!/usr/bin/env python3
-"""Shows that each proof can fail: removes one guard at a time in a scratch copy and runs its test.
+"""Checks that each guard in the code is covered by a test.
 
-Usage: spec/guards/run.py [NAME ...]; prints one line a guard: 'fails without it' is the good end.
+Removes one guard at a time in a scratch copy and runs its test, which must fail.
+
+Usage: spec/guards/run.py [NAME ...]
+
+Prints one line per guard: 'fails without it' if the test fails as expected, 'STILL PASSES' if the
+test does not cover the guard.
 """
 import pathlib
 import shutil
@@ -18,7 +23,7 @@
 PLATFORM = "platform/src/main/java/org/fennelstage/"
 ROUTER = "fennelstage-router/src/main/java/org/fennelstage/"
 
-# name, file, text of the guard, text without it, test that must fail
+# (name, file, code of the guard, its replacement, tests of which one must fail)
 GUARDS = [
     ("evacuated-gets-nothing", CORE + "fleet/Eligibility.java",
      "        if (evacuations.includes(server.entry().dataCentre())) {\n            return Optional.empty();", "        if (evacuations.size() < 0) {\n            return Optional.empty();",
@@ -245,7 +250,7 @@
         source = copy / path
         text = source.read_text()
         if guard not in text:
-            return "guard not found in " + path
+            return "code of the guard not found in " + path
         source.write_text(text.replace(guard, without, 1))
         done = subprocess.run(
             ["mvn", "-q", "-B", "-o", "test", "-Dspotless.check.skip", "-pl", "fennelstage-core,fennelstage-http,fennelstage-log,fennelstage-gateway,platform,fennelstage-objects,fennelstage-peer,fennelstage-standin,fennelstage-router",
--- a/spec/src/test/java/org/fennelstage/spec/SpecificationTest.java
+++ b/spec/src/test/java/org/fennelstage/spec/SpecificationTest.java
@@ -17,15 +17,15 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * Runs every command of every specification. A check expects no counterexample with all guards, and
- * one without any single guard; so each invariant is shown able to fail.
+ * Runs every command of the Alloy specifications. A check expects no counterexample with all guards
+ * and a counterexample with any one guard removed, which shows that the check can fail.
  */
 class SpecificationTest {
 
     private static final int SATISFIABLE = 1;
 
     @TestFactory
-    Stream<DynamicTest> everyCommandEndsAsTheSpecificationExpects() {
+    Stream<DynamicTest> everyCommandMeetsItsExpectation() {
         return Stream.of("claims", "bills", "configuration", "rollouts").flatMap(this::commands);
     }
 
@@ -43,7 +43,7 @@
         final A4Solution solution =
                 TranslateAlloyToKodkod.execute_command(
                         A4Reporter.NOP, module.getAllReachableSigs(), command, options);
-        assertThat(command.expects).as("the command says what it expects").isIn(0, 1);
+        assertThat(command.expects).as("'expect' of command %s", command.label).isIn(0, 1);
         assertThat(solution.satisfiable()).isEqualTo(command.expects == SATISFIABLE);
     }
 
--- a/spec/src/test/resources/bills.als
+++ b/spec/src/test/resources/bills.als
@@ -1,13 +1,14 @@
 /*
- * Billed once: a bill is in two memories before its caller sees the end of the answer.
+ * Bills: two VMs hold a bill before the caller receives the end of the response, so no bill is lost
+ * when one VM crashes.
  *
- * How actions correspond to code:
+ * Actions and the code that they model:
  *   record, hold      Bills.record and Bills.keep
  *   answer            ChatExecution.finishResponse
- *   write             Bills.flush and BillWriter: appends to the keeper's own segment
- *   settle            BILLS_SETTLED: the origin forgets
- *   resend            Bills.resend after its keeper is gone
- *   die               a VM is gone with its memory
+ *   write             Bills.flush and BillWriter: the keeper appends to its own segment
+ *   settle            BILLS_SETTLED: the origin discards its copy
+ *   hold, repeated    Bills.resend after the keeper has crashed
+ *   die               a VM crashes and loses its memory
  */
 module bills
 
@@ -16,7 +17,7 @@
 sig Vm {
   var own: set Request,
   var held: set Request,
-  /* Segments that this VM alone writes; they outlive it. */
+  /* Bills in the store, in segments that only this VM writes; they remain after it crashes. */
   var segment: set Request
 }
 
@@ -77,7 +78,7 @@
   sameHeld and sameSegments and sameRest
 }
 
-/* At most one VM dies before a bill is written: the bound that the design states. */
+/* At most one VM crashes; the design gives no guarantee for more before a bill is written. */
 pred die[v: Vm] {
   no dead
   dead' = dead + v
@@ -98,11 +99,11 @@
     or (some v: Vm | die[v]))
 }
 
-/* A bill of an answered request is stored or in the memory of a live VM, which will store it. */
+/* The bill of a complete response is in the store or in the memory of a running VM. */
 pred noBillIsLost {
   all r: answered | some v: Vm | r in v.segment or (v not in dead and r in v.own + v.held)
 }
-/* Two copies are the same bill: a reader's set holds each request once. */
+/* Copies count as one bill, since readers count each request once. */
 pred onlyRealBills { Vm.segment in Request }
 
 run billed { Guards.on = Guard and eventually (some answered & Vm.segment) }
--- a/spec/src/test/resources/claims.als
+++ b/spec/src/test/resources/claims.als
@@ -1,18 +1,19 @@
 /*
- * At most once: claims by conditional update, with lost answers, two keepers, stale caches, holders
- * that pause, give up or die. One key is enough, since keys do not touch each other.
+ * Claims: a request with an idempotency key runs at most once, despite lost responses, concurrent
+ * keepers, stale caches, and holders that pause, time out or crash. One key is enough, since keys
+ * are independent.
  *
- * How actions correspond to code:
+ * Actions and the code that they model:
  *   (initially Asked) Claims.take
- *   giveUp            the timer in Claims.take
+ *   giveUp            the timeout in Claims.take
  *   issue             ClaimKeeper.Slot.commit: apply on a cache of any age (load, readBack, adopt),
  *                     then ObjectStore.write; any number of keepers
- *   apply             the object API's conditional update; its answer may be lost
- *   hear              the answer "made" on its way through ClaimKeeper and Claims
+ *   apply             the object API's conditional update; its response may be lost
+ *   hear              the result "made" reaches the holder through ClaimKeeper and Claims
  *   send              ChatExecution.dispatch after onClaim
- *   finish, doubt     ChatExecution.onResponseComplete, ChatExecution.onFailure
+ *   finish            ChatExecution.onResponseComplete, ChatExecution.onFailure
  *   release           Claims.release
- *   die               the VM is gone with its memory
+ *   die               the holder's VM crashes and loses its memory
  */
 module claims
 
@@ -26,18 +27,18 @@
 abstract sig Told {}
 one sig NotRun, Complete, Unknown extends Told {}
 
-/* One attempt of the caller, at some VM. */
+/* One request of the caller with the key, at some VM. */
 sig Holder {
   var phase: one Phase,
   var told: lone Told
 }
 
-/* What may be switched off to see that it matters. */
+/* Mechanisms that a check can disable to show that they are necessary. */
 abstract sig Guard {}
 one sig Conditional, StaysGivenUp, ReleasesOnlyUnsent, SendsOnlyOwned extends Guard {}
 one sig Guards { on: set Guard }
 
-/* A conditional write on its way: it gives the key to its holder, or takes it away. */
+/* A pending conditional write, which sets the claim of its holder or removes it. */
 sig Write {
   holder: one Holder,
   frees: lone Holder,
@@ -50,7 +51,7 @@
   var history: Revision -> lone Holder
 }
 
-/* Holders whose request reached a backend server; holders that were told "made". */
+/* Holders whose request reached a backend server, or whose claim was made or released. */
 var sig ran in Holder {}
 var sig made in Holder {}
 var sig released in Holder {}
@@ -73,12 +74,12 @@
 pred othersKeep[h: Holder] { all o: Holder - h | o.phase' = o.phase and o.told' = o.told }
 pred holdersKeep { phase' = phase and told' = told }
 
-/* The claim that a keeper believes in: the present one, or by a stale read an older one. */
+/* The claim in a keeper's cache: the latest one or, after a stale read, an older one. */
 fun claimAt[r: Revision]: lone Holder {
   r = Store.revision implies Store.claim else Store.history[r]
 }
 
-/* A keeper writes a claim that its cache allows. A holder that released never claims again. */
+/* A keeper writes a claim if its cache has none. A holder that released never claims again. */
 pred issue[w: Write] {
   no w.expected and no w.frees
   w.holder not in released
@@ -99,7 +100,7 @@
   released' = released + w.frees
 }
 
-/* The store makes the write if its condition holds; the answer is heard later, or never. */
+/* The store applies the write if its condition holds; the result arrives later or never. */
 pred apply[w: Write] {
   some w.expected
   (Conditional in Guards.on implies w.expected = Store.revision)
@@ -138,7 +139,7 @@
   othersKeep[h] and sameStore and sameWrites and sameFacts
 }
 
-/* A holder that was told "not run" gives the key back by a conditional write. */
+/* The claim of a holder whose caller received "not run" is released by a conditional write. */
 pred release[w: Write] {
   no w.expected and some w.frees and w.frees = w.holder
   w.holder.phase = Ended
@@ -172,7 +173,7 @@
 pred notRunIsTrue { no h: Holder | h.told = NotRun and h in ran }
 pred safe { always (runsAtMostOnce and notRunIsTrue) }
 
-/* The model is not empty: a request completes; a key is released and another attempt runs. */
+/* The model is satisfiable: a request completes; after a release another request runs. */
 run completes { Guards.on = Guard and eventually Complete in Holder.told }
   for 2 Holder, 3 Write, 4 Revision, 1..8 steps expect 1
 run releasedKeyRuns {
--- a/spec/src/test/resources/configuration.als
+++ b/spec/src/test/resources/configuration.als
@@ -1,10 +1,10 @@
 /*
- * Configuration never reverts: a VM keeps the highest revision of each object it has heard, over
- * stale reads, late and repeated messages. One object is enough.
+ * Configuration: a VM keeps the highest revision of each object that it has received, despite stale
+ * reads and delayed or repeated messages. One object is enough, since objects are independent.
  *
- * How actions correspond to code:
+ * Actions and the code that they model:
  *   publish           a conditional write of an operator
- *   hear              ConfigurationTable.merge of an answer or a peer's message, of any age
+ *   hear              ConfigurationTable.merge of a store response or peer message, of any age
  */
 module configuration
 
@@ -26,7 +26,7 @@
   revision' = revision
 }
 
-/* What is heard is any revision that was ever written: messages are late and repeated. */
+/* Receives any revision that was ever written, since messages may be delayed or repeated. */
 pred hear[v: Vm] {
   some r: Revision {
     revisions/lte[r, Store.newest]
--- a/spec/src/test/resources/rollouts.als
+++ b/spec/src/test/resources/rollouts.als
@@ -1,12 +1,12 @@
 /*
- * Exposure: shares of a candidate's requests are drawn from one object by conditional update, so all
- * data centres together never send it more than is allowed, also when cut off; a halt is never
- * taken back.
+ * Rollouts: data centres take grants for requests to the new version from one object by conditional
+ * update, so together they never send it more than allowed, even while partitioned. A halted
+ * rollout stays halted.
  *
- * How actions correspond to code:
+ * Actions and the code that they model:
  *   draw              RolloutKeeper.write: RolloutProgress.grant under a conditional update
  *   expose            RolloutKeeper.request
- *   halt, hearHalt    HaltTable.add, PeerGroup.pushHalts
+ *   halt, hearOld     HaltTable.add, PeerGroup.pushHalts
  */
 module rollouts
 
@@ -15,12 +15,12 @@
 one sig ConditionalDraw, AsksFirst, KeepsHalt extends Guard {}
 one sig Guards { on: set Guard }
 
-/* One data centre; cut off, it neither draws nor hears. */
+/* A data centre; while partitioned it neither draws nor receives. */
 sig DataCentre {
   var drawn: set Share,
   var used: set Share,
   var halted: lone Halt,
-  /* What its keeper last read of the object; it may be old. */
+  /* What its keeper last read of the object; may be outdated. */
   var seenGiven: set Share
 }
 one sig Halt {}
@@ -67,7 +67,7 @@
   othersKeep[d] and sameStore and extra' = extra
 }
 
-/* A late message says "running". */
+/* A delayed message reports the rollout as running. */
 pred hearOld[d: DataCentre] {
   (KeepsHalt in Guards.on implies d.halted' = d.halted else no d.halted')
   d.drawn' = d.drawn and d.used' = d.used and d.seenGiven' = d.seenGiven
@@ -82,7 +82,7 @@
     or (some d: DataCentre | read[d] or draw[d] or expose[d] or halt[d] or hearOld[d]))
 }
 
-/* Each allowed exposure is used by at most one data centre, and nothing beyond is used. */
+/* Each allowed exposure is used by at most one data centre, and none beyond those. */
 pred withinAllowed {
   no extra
   all s: Share | lone d: DataCentre | s in d.used
