--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Attempt.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Attempt.java
@@ -36,14 +36,15 @@
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(200);
 
     /**
-     * Requests that must not be retried use a new connection: a backend server may close an idle
-     * one at any time, and then it is unknown whether the request ran.
+     * Maximum idle time of a connection that is reused for a request that must not be retried; zero
+     * forces a new one. A backend server may close an idle connection at any time, and then it is
+     * unknown whether the request ran.
      */
     private static final Duration MAX_IDLE_NON_RETRYABLE = Duration.ZERO;
 
     /**
-     * The deadline of the request normally ends an attempt; this margin only frees a connection
-     * that was missed.
+     * Time between the request's deadline, at which the attempt is normally cancelled, and the
+     * timeout of its call.
      */
     private static final Duration DEADLINE_MARGIN = Duration.ofMillis(500);
 
@@ -54,6 +55,7 @@
      */
     private static final long RESTART_GRACE_MILLIS = 500;
 
+    /** Maximum idle time of a connection that is reused for a request that may be retried. */
     private static final Duration MAX_IDLE_RETRYABLE = Duration.ofSeconds(4);
 
     /**
@@ -377,7 +379,10 @@
         }
     }
 
-    /** Marks the prompt as read, or as never to be read: later requests need not wait for it. */
+    /**
+     * Marks the prompt as read, or as no longer to be read if the attempt ended: in both cases
+     * later requests need not wait for it.
+     */
     private void markPromptRead() {
         if (!promptRead) {
             promptRead = true;
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/CrashDetector.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/CrashDetector.java
@@ -41,7 +41,7 @@
      */
     static final long MAX_SUSPECT_RESPONSE_MILLIS = 2_000;
 
-    /** Timeout of a probe; also a closed port responds within milliseconds. */
+    /** Timeout of a probe. A closed port refuses a connection within milliseconds. */
     private static final Duration PROBE_TIMEOUT = Duration.ofMillis(200);
 
     /** Retry time of a request while probes decide whether its backend servers have crashed. */
@@ -63,7 +63,7 @@
     private Consumer<CrashReport> reportListener = report -> {};
     private Consumer<ClearedCrashes> clearedListener = cleared -> {};
     private Runnable storeListener = () -> {};
-    private Consumer<Fingerprint> quarantineLiftedListener = fingerprint -> {};
+    private Consumer<Fingerprint> releasedByResponseListener = fingerprint -> {};
 
     /**
      * Creates a detector without known crashes.
@@ -110,12 +110,13 @@
     }
 
     /**
-     * Sets the listener for requests whose quarantine ended because they got a response.
+     * Sets the listener for requests that were released from quarantine because they got a
+     * response.
      *
      * @param listener receives the fingerprint
      */
-    public void onLifted(final Consumer<Fingerprint> listener) {
-        quarantineLiftedListener = Objects.requireNonNull(listener, "listener is null");
+    public void onReleasedByResponse(final Consumer<Fingerprint> listener) {
+        releasedByResponseListener = Objects.requireNonNull(listener, "listener is null");
     }
 
     /** Sets the listeners for crashes of backend servers and for newly quarantined requests. */
@@ -219,18 +220,15 @@
         final Set<Incarnation> cleared = ledger.onResponse(fingerprint);
         if (!cleared.isEmpty()) {
             clearedListener.accept(new ClearedCrashes(fingerprint, cleared));
-            liftQuarantine(fingerprint);
+            releaseAfterResponse(fingerprint);
         }
     }
 
-    /**
-     * Ends the quarantine of a request that got a response: it was hit by crashes that it did not
-     * cause.
-     */
-    private void liftQuarantine(final Fingerprint fingerprint) {
+    /** Releases a request that got a response: it was hit by crashes that it did not cause. */
+    private void releaseAfterResponse(final Fingerprint fingerprint) {
         if (quarantine.release(fingerprint)) {
             EventLog.write(Event.QUARANTINE_ENDED, "content", fingerprint, "source", "answer");
-            quarantineLiftedListener.accept(fingerprint);
+            releasedByResponseListener.accept(fingerprint);
         }
     }
 
@@ -241,7 +239,7 @@
      */
     public void onClearedCrashes(final ClearedCrashes cleared) {
         ledger.clear(cleared);
-        liftQuarantine(cleared.content());
+        releaseAfterResponse(cleared.content());
     }
 
     /**
@@ -266,7 +264,7 @@
     }
 
     /**
-     * Ends the quarantine of a request; the crashes known so far no longer count against it.
+     * Releases a request from quarantine; the crashes known so far no longer count against it.
      *
      * @param fingerprint the request
      */
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/ErrorResponder.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/ErrorResponder.java
@@ -9,7 +9,7 @@
 /**
  * Sends the error response for one request, with a retry time if one is known.
  *
- * <p>Must be called at most once; the caller of this class decides whether the request may be
+ * <p>At most one response may be sent; {@link RequestExecution} decides whether the request may be
  * reported as not run.
  *
  * <p>Not thread-safe; confined to the event loop.
@@ -53,7 +53,7 @@
      *
      * @param service the service
      * @return the error sent: the service has no usable backend server, or none that is eligible
-     *     now
+     *     and reachable now
      */
     GatewayError noServer(final ServiceName service) {
         final boolean hasServers = !gateway.state().servers().usable(service).isEmpty();
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Gateway.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/Gateway.java
@@ -149,11 +149,12 @@
     }
 
     /**
-     * Withdraws a quarantined request from the backend servers that have it, before they run it.
+     * Cancels the open attempts of a quarantined request, so that they crash no further backend
+     * servers.
      */
     private void onQuarantined(final Fingerprint fingerprint) {
         for (final Attempt attempt : List.copyOf(attempts)) {
-            attempt.execution().withdraw(fingerprint);
+            attempt.execution().cancelIfQuarantined(fingerprint);
         }
     }
 
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/GatewayError.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/GatewayError.java
@@ -22,9 +22,12 @@
     NOT_CONFIGURED(503, "not_configured", Optional.of(Duration.ofMillis(500))),
     /** The service has no usable backend server; the request was not run. */
     NO_SERVER(503, "no_server", Optional.of(Duration.ofMillis(300))),
-    /** The service has backend servers, but none is eligible now; the request was not run. */
+    /**
+     * The service has backend servers, but none is eligible and reachable now; the request was not
+     * run.
+     */
     NO_ELIGIBLE_SERVER(503, "no_eligible_server", Optional.of(Duration.ofMillis(300))),
-    /** The request crashes backend servers; nothing was sent. */
+    /** The request crashes backend servers; it is rejected as not run. */
     QUARANTINED(503, "ends_servers", Optional.empty()),
     /** The expected wait at all backend servers exceeds the remaining time; nothing was sent. */
     OVERLOADED(503, "no_room", Optional.empty()),
--- a/fennelstage-gateway/src/main/java/org/fennelstage/gateway/RequestExecution.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/gateway/RequestExecution.java
@@ -140,16 +140,13 @@
         finish(GatewayError.QUARANTINED);
     }
 
-    /**
-     * Withdraws the request from its backend server if it has just been quarantined and no response
-     * has started.
-     */
-    void withdraw(final Fingerprint quarantined) {
+    /** Cancels the request if it has just been quarantined and no response has started. */
+    void cancelIfQuarantined(final Fingerprint quarantined) {
         if (ended || response.started() || !fingerprint.equals(quarantined)) {
             return;
         }
         abandonOpenAttempt(AttemptEnd.UNKNOWN);
-        log.attemptFailed(AttemptEnd.UNKNOWN, "withdrawn", elapsedMillis());
+        log.attemptFailed(AttemptEnd.UNKNOWN, "request quarantined", elapsedMillis());
         giveUp();
     }
 
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/QuarantineFeed.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/QuarantineFeed.java
@@ -66,10 +66,10 @@
         this.clock = Objects.requireNonNull(clock, "clock is null");
         this.stagger = new TaskStagger<>(rankFor, MAX_RANK, clock);
         this.afterList = Objects.requireNonNull(afterList, "afterList is null");
-        crashes.onLifted(this::onReleased);
+        crashes.onReleasedByResponse(this::onReleasedByResponse);
     }
 
-    private void onReleased(final Fingerprint content) {
+    private void onReleasedByResponse(final Fingerprint content) {
         releasedMillis.put(content, clock.millis());
         toDelete.add(content);
     }
