--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/ConfigurationFeed.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/ConfigurationFeed.java
@@ -30,7 +30,7 @@
     }
 
     private void offer(final ServingConfiguration configuration, final Position position) {
-        final boolean inForce = state.offer(configuration);
+        final boolean applied = state.offer(configuration);
         EventLog.write(
                 Event.CONFIGURATION_CHANGED,
                 "version",
@@ -38,6 +38,6 @@
                 "revision",
                 position,
                 "in_force",
-                inForce);
+                applied);
     }
 }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/Drain.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/Drain.java
@@ -7,14 +7,14 @@
 /**
  * Decides when a stopping process may exit.
  *
- * <p>The balancer detects the failing health check with a delay; an earlier exit would reset the
- * connections that it opens until then. Not thread-safe.
+ * <p>The load balancer detects the failing health check with a delay; an earlier exit would reset
+ * the connections that it opens until then. Not thread-safe.
  */
 final class Drain {
 
     /**
-     * Time until the balancer opens no more connections: two failed health checks, one a second,
-     * and a reserve for connections being opened; milliseconds.
+     * Time until the load balancer opens no more connections: two failed health checks, one a
+     * second, and a reserve for connections being opened; milliseconds.
      */
     private static final long BALANCER_DELAY_MILLIS = 2_500;
 
@@ -37,8 +37,9 @@
     }
 
     /**
-     * Returns whether the balancer has stopped sending callers. Idle connections are closed from
-     * then on: a long request that starts late on one could not finish within the grace period.
+     * Returns whether the load balancer has stopped sending callers. Idle connections are closed
+     * from then on: a long request that starts late on one could not finish within the grace
+     * period.
      */
     boolean isBalancerInformed() {
         return elapsedMillis() >= BALANCER_DELAY_MILLIS;
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/GatewayVm.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/GatewayVm.java
@@ -237,9 +237,9 @@
      * Starts a VM.
      *
      * @param settings the settings of the VM
-     * @param codec reads and writes the request format
+     * @param codec translates the wire format
      * @param storeAt creates a client of the store at an address
-     * @return the running VM; it is ready once it knows a configuration and the backend servers
+     * @return the running VM; it becomes ready once it has read its state from the store
      * @throws IOException if an address cannot be bound
      */
     public static GatewayVm start(
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/LoadCollection.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/LoadCollection.java
@@ -21,9 +21,10 @@
  * than the requests. This way each VM sends and receives one message a period; only the collector
  * handles one per VM.
  *
- * <p>The VMs derive the collector from the order of their names, without messages. A VM that sends
- * its load and receives no sums uses the next VM in the order for a while. A VM that receives loads
- * replies with sums, so VMs that temporarily disagree on the collector only have incomplete sums.
+ * <p>Each VM determines the collector without messages: it is the first when the VMs of the data
+ * centre are ranked by a hash of their names. A VM that sends its load and receives no sums uses
+ * the next VM by rank for a while. A VM that receives loads replies with sums, so VMs that
+ * temporarily disagree on the collector only have incomplete sums.
  *
  * <p>Invariant: a VM sends to at most one other VM in each period, unless others sent it their
  * loads. Not thread-safe; confined to the event loop.
@@ -39,7 +40,7 @@
     /** Time for which an unresponsive collector is skipped at first; milliseconds. */
     static final long FIRST_BACKOFF_MILLIS = 5_000;
 
-    /** Limit of consecutive doublings of that time, for a VM that is gone. */
+    /** Maximum doublings of that time; reached for a VM that has stopped. */
     private static final int MAX_DOUBLINGS = 4;
 
     /** Backend servers in one message, so that it fits into a datagram. */
@@ -142,7 +143,7 @@
         skippedUntilMillis.put(vm, clock.millis() + backoff);
     }
 
-    /** Returns the first VM in the order that is not skipped, empty if that is this VM. */
+    /** Returns the first VM by rank that is not skipped, empty if that is this VM. */
     private Optional<VmId> selectCollector() {
         final long now = clock.millis();
         skippedUntilMillis.values().removeIf(until -> until <= now);
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/LoadReports.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/LoadReports.java
@@ -25,7 +25,7 @@
  */
 final class LoadReports {
 
-    /** Reports that a VM receives in a second at most, up to the longest period. */
+    /** Maximum reports that a VM receives per second, unless the period is at its longest. */
     private static final int MAX_RECEIVED_PER_SECOND = 40;
 
     /** Shortest time between two reports; milliseconds. */
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/PeerMessenger.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/PeerMessenger.java
@@ -27,8 +27,8 @@
 /**
  * Sends and receives peer messages, one datagram each.
  *
- * <p>Messages are neither acknowledged nor sent again: a VM that misses one finds out by an attempt
- * of its own. They are lines of text, which need no serialization library. Not thread-safe;
+ * <p>Messages are neither acknowledged nor sent again; {@link CrashBroadcast} repeats those that
+ * must not be missed. They are lines of text, which need no serialization library. Not thread-safe;
  * confined to the event loop.
  */
 final class PeerMessenger {
@@ -134,8 +134,8 @@
 
         @Override
         public void exceptionCaught(final ChannelHandlerContext context, final Throwable cause) {
-            // A VM that is gone causes ICMP "port unreachable". The channel stays open for the
-            // next message.
+            // A message to a stopped VM causes ICMP "port unreachable". The channel stays open for
+            // the next message.
             EventLog.write(Event.INTERNAL_ERROR, "task", "peer messages", "error", cause);
         }
     }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/Peers.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/Peers.java
@@ -33,21 +33,21 @@
 /**
  * The VMs, as listed in the store, and relays to the store through them.
  *
- * <p>Entries of VMs that are gone remain; a relay that does not respond is skipped. Invariant: a VM
- * that was listed once is never removed. A store that was restored from an older copy lacks later
- * entries; without them VMs would lose their relays and take too large a part of what the fleet
- * shares. Not thread-safe; confined to the event loop.
+ * <p>Entries of stopped VMs remain; a relay that does not respond is skipped. Invariant: a VM that
+ * was listed once is never removed. A store that was restored from an older copy lacks later
+ * entries; without them VMs would lose their relays and take too large a share of the fleet's
+ * limits. Not thread-safe; confined to the event loop.
  */
 final class Peers {
 
     /**
      * Time between two reads of the list; milliseconds. The list is polled, since with a watch each
-     * VM that enters would cause a call by every VM.
+     * VM that registers would cause a call by every VM.
      */
     private static final long READ_PERIOD_MILLIS = 15_000;
 
     /**
-     * Time of the second read of the list, when all VMs of a starting fleet have entered;
+     * Time of the second read of the list, when all VMs of a starting fleet have registered;
      * milliseconds. Until then this VM calls the store directly, since the VM that coalesces calls
      * is starting as well.
      */
@@ -101,7 +101,7 @@
     /**
      * Sets the listener for the other VMs, called once the fleet is known.
      *
-     * @param listener receives the ids of the others, gone ones included
+     * @param listener receives the ids of the others, including those that have stopped
      */
     void onFleetKnown(final Consumer<Set<VmId>> listener) {
         fleetListener = Objects.requireNonNull(listener, "listener is null");
@@ -214,10 +214,10 @@
     private void onEntries(final List<StoredValue<VmEntry>> values) {
         reads++;
         values.forEach(v -> v.value().ifPresent(e -> entries.put(e.vm(), e)));
-        // A list with this VM is of a fleet that ran before; a list without it may be of a fleet
-        // that is still starting.
+        // A first list that contains this VM is from an earlier run of the fleet; one without it
+        // may be incomplete because the fleet is still starting.
         fleetKnown = fleetKnown || !hasJustStarted() || contains(values, own);
-        updateOrders();
+        updateDerivedLists();
         if (fleetKnown) {
             final Set<VmId> others = new HashSet<>(entries.keySet());
             others.remove(own.vm());
@@ -225,7 +225,7 @@
         }
     }
 
-    private void updateOrders() {
+    private void updateDerivedLists() {
         countListener.accept(entries.size());
         relaysByAddress
                 .keySet()
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/Readiness.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/Readiness.java
@@ -8,7 +8,7 @@
 import org.fennelstage.log.EventLog;
 
 /**
- * Responds to the balancer's health checks.
+ * Responds to the load balancer's health checks.
  *
  * <p>Invariants: a VM becomes ready once it knows a configuration, the backend servers, the
  * rollouts, the evacuations and the quarantine; it stays ready while the store is unavailable, and
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/RelayedCall.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/RelayedCall.java
@@ -16,7 +16,8 @@
 /**
  * One call to the store, shared by all VMs that requested the same.
  *
- * <p>Invariant: each requester gets one response. Not thread-safe; confined to the event loop.
+ * <p>Invariant: each requester gets one response or a closed connection. Not thread-safe; confined
+ * to the event loop.
  */
 final class RelayedCall {
 
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/ServerFeed.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/ServerFeed.java
@@ -43,7 +43,7 @@
     public void onChange(final StoredValue<ServerEntry> change) {
         if (change.value().isPresent()) {
             final ServerEntry entry = change.value().get();
-            final boolean taken = state.onServer(entry);
+            final boolean applied = state.onServer(entry);
             EventLog.write(
                     Event.SERVER_ENTRY_CHANGED,
                     "server",
@@ -57,7 +57,7 @@
                     "born_ms",
                     entry.incarnation().startMillis(),
                     "taken",
-                    taken,
+                    applied,
                     "revision",
                     change.position());
         } else {
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/StoreRelay.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/StoreRelay.java
@@ -89,14 +89,14 @@
             exchange.respond(SERVICE_UNAVAILABLE, "text/plain", "");
             return;
         }
-        final RelayedCall read = new RelayedCall(clock, exchange);
+        final RelayedCall call = new RelayedCall(clock, exchange);
         if (isRead) {
-            reads.put(exchange.uri(), read);
+            reads.put(exchange.uri(), call);
         }
-        read.attach(send(exchange, read));
+        call.attach(send(exchange, call));
     }
 
-    private Call send(final ServerExchange exchange, final RelayedCall read) {
+    private Call send(final ServerExchange exchange, final RelayedCall call) {
         final FullHttpRequest request =
                 new DefaultFullHttpRequest(
                         HttpVersion.HTTP_1_1,
@@ -108,34 +108,34 @@
             request.headers().set(HttpHeaderNames.CONTENT_TYPE, type);
         }
         final String uri = exchange.uri();
-        read.onAbandoned(() -> onAbandoned(uri, read));
+        call.onAbandoned(() -> onAbandoned(uri, call));
         return http.send(
                 store,
                 request,
                 CallOptions.of(CONNECT_TIMEOUT, INACTIVITY_TIMEOUT, false),
                 Responses.collecting(
-                        whole -> onResponse(uri, read, whole),
-                        failure -> onFailure(uri, read, failure)));
+                        whole -> onResponse(uri, call, whole),
+                        failure -> onFailure(uri, call, failure)));
     }
 
-    private void onResponse(final String uri, final RelayedCall read, final Responses.Whole whole) {
-        reads.remove(uri, read);
+    private void onResponse(final String uri, final RelayedCall call, final Responses.Whole whole) {
+        reads.remove(uri, call);
         if (whole.status() >= SERVER_ERROR || whole.status() == TOO_MANY_CALLS) {
             fallback.onRelayFailed("store responded with status " + whole.status());
         } else {
             fallback.onRelayed();
         }
-        read.respond(whole, shareableBytes / Math.max(1, whole.body().length));
+        call.respond(whole, shareableBytes / Math.max(1, whole.body().length));
     }
 
-    private void onFailure(final String uri, final RelayedCall read, final CallFailure failure) {
-        reads.remove(uri, read);
+    private void onFailure(final String uri, final RelayedCall call, final CallFailure failure) {
+        reads.remove(uri, call);
         fallback.onRelayFailed(failure.detail());
-        read.fail(failure.phase() == CallFailure.Phase.NOT_SENT ? SERVICE_UNAVAILABLE : 0);
+        call.fail(failure.phase() == CallFailure.Phase.NOT_SENT ? SERVICE_UNAVAILABLE : 0);
     }
 
     /** Removes a call whose requesters have all closed their connections. */
-    private void onAbandoned(final String uri, final RelayedCall read) {
-        reads.remove(uri, read);
+    private void onAbandoned(final String uri, final RelayedCall call) {
+        reads.remove(uri, call);
     }
 }
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/StoreWatches.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/StoreWatches.java
@@ -43,8 +43,8 @@
 
     /**
      * Pace of the watch on the quarantine. VMs report crashes to each other directly; the store
-     * serves those that missed a message or start later. The short backoff finds the end of an
-     * outage.
+     * serves those that missed a message or start later. The short maximum backoff detects the end
+     * of an outage soon.
      */
     static final WatchPace QUARANTINE_PACE =
             WatchPace.ofMillis(30_000, 0).withMaxBackoff(Duration.ofSeconds(4));
@@ -54,8 +54,8 @@
 
     /**
      * Pause of a starting VM between its list and its first watch of kinds that change rarely: by
-     * then its data centre coalesces calls, and the watch joins one that is open. Changes of the
-     * meantime arrive with that watch; a new version of a backend server triggers a list at once.
+     * then its data centre coalesces calls, and the watch joins one that is open. Changes in
+     * between arrive with that watch; a new version of a backend server triggers a list at once.
      */
     static final Duration STARTING_LIST_PAUSE = Duration.ofMillis(3_300);
 
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/VmSettings.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/VmSettings.java
@@ -14,7 +14,7 @@
  * @param vm its id
  * @param dataCentre its data centre
  * @param callers address of the listener for callers
- * @param readiness address of the listener for the balancer's health checks
+ * @param readiness address of the listener for the load balancer's health checks
  * @param readinessPath path of the health check
  * @param metrics address of the metrics listener, empty for none
  * @param peers address of the listener for other VMs
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/QuarantineFeedTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/QuarantineFeedTest.java
@@ -69,7 +69,7 @@
     void failedWriteIsRetriedAfterPause() {
         crashes.quarantine(CONTENT, "test");
         feed.writeDue();
-        store.complete(new StoreResult.Unavailable<>(true, "no answer"));
+        store.complete(new StoreResult.Unavailable<>(true, "no response"));
         feed.writeDue();
         assertThat(store.pending()).isEmpty();
         now.addAndGet(1_000);
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/RestorableStore.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/RestorableStore.java
@@ -42,16 +42,16 @@
     private final class Call {
         private final StoreKind<?> kind;
         private final Optional<Position> since;
-        private final Consumer<StoreResult<?>> onResult;
+        private final Consumer<StoreResult<?>> callback;
         private Optional<StoreResult<?>> prepared = Optional.empty();
 
         private Call(
                 final StoreKind<?> kind,
                 final Optional<Position> since,
-                final Consumer<StoreResult<?>> onResult) {
+                final Consumer<StoreResult<?>> callback) {
             this.kind = kind;
             this.since = since;
-            this.onResult = onResult;
+            this.callback = callback;
         }
 
         private boolean canRespond() {
@@ -153,7 +153,7 @@
         }
         final Call call = ready.get(random.nextInt(ready.size()));
         calls.remove(call);
-        call.onResult.accept(call.prepared.orElseGet(call::createResponse));
+        call.callback.accept(call.prepared.orElseGet(call::createResponse));
         return true;
     }
 
@@ -175,8 +175,8 @@
     public <T> void list(
             final StoreKind<T> kind,
             final Optional<String> after,
-            final Consumer<StoreResult<Page<T>>> onResult) {
-        calls.add(new Call(kind, Optional.empty(), (Consumer) onResult));
+            final Consumer<StoreResult<Page<T>>> callback) {
+        calls.add(new Call(kind, Optional.empty(), (Consumer) callback));
     }
 
     @Override
@@ -185,8 +185,8 @@
             final StoreKind<T> kind,
             final Position since,
             final Duration wait,
-            final Consumer<StoreResult<Page<T>>> onResult) {
-        calls.add(new Call(kind, Optional.of(since), (Consumer) onResult));
+            final Consumer<StoreResult<Page<T>>> callback) {
+        calls.add(new Call(kind, Optional.of(since), (Consumer) callback));
     }
 
     @Override
@@ -194,8 +194,8 @@
             final RolloutOrder order,
             final RolloutPhase phase,
             final Instant begunAt,
-            final Consumer<StoreResult<Void>> onResult) {
-        writes.add(() -> onResult.accept(write(order, phase, begunAt)));
+            final Consumer<StoreResult<Void>> callback) {
+        writes.add(() -> callback.accept(write(order, phase, begunAt)));
     }
 
     /** Compares only the revision, as the real store does. */
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/StartingFleetTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/StartingFleetTest.java
@@ -44,9 +44,9 @@
         public <T> void list(
                 final StoreKind<T> kind,
                 final Optional<String> after,
-                final Consumer<StoreResult<Page<T>>> onResult) {
+                final Consumer<StoreResult<Page<T>>> callback) {
             calls.incrementAndGet();
-            ((Consumer) onResult).accept(page(List.of()));
+            ((Consumer) callback).accept(page(List.of()));
         }
 
         @Override
@@ -55,12 +55,12 @@
                 final StoreKind<T> kind,
                 final Position since,
                 final Duration wait,
-                final Consumer<StoreResult<Page<T>>> onResult) {
+                final Consumer<StoreResult<Page<T>>> callback) {
             calls.incrementAndGet();
             if (since.revision() < revision) {
-                ((Consumer) onResult).accept(page(List.of(change())));
+                ((Consumer) callback).accept(page(List.of(change())));
             } else {
-                watches.add((Consumer) onResult);
+                watches.add((Consumer) callback);
             }
         }
     }
--- a/fennelstage-gateway/src/test/java/org/fennelstage/vm/StoreRestoreTest.java
+++ b/fennelstage-gateway/src/test/java/org/fennelstage/vm/StoreRestoreTest.java
@@ -80,8 +80,11 @@
         private Optional<String> orderedVersion = Optional.empty();
 
         private final Deque<Runnable> pendingRewrites = new ArrayDeque<>();
-        private final Set<String> versionsInUse = new HashSet<>(Set.of("v1"));
-        private String versionInUse = "v1";
+
+        /** All versions that are or were current. */
+        private final Set<String> currentAndFormerVersions = new HashSet<>(Set.of("v1"));
+
+        private String currentVersion = "v1";
         private final Set<String> halted = new HashSet<>();
         private final Set<String> seenDraining = new HashSet<>();
         private long lastConfiguration;
@@ -179,7 +182,7 @@
 
         private void act() {
             switch (random.nextInt(10)) {
-                case 0, 1 -> register(versionInUse);
+                case 0, 1 -> register(currentVersion);
                 case 2 -> startDraining();
                 case 3 -> deregister();
                 case 4 -> {
@@ -223,7 +226,7 @@
         private void giveOrder() {
             final boolean running =
                     orderedVersion.isPresent()
-                            && !versionsInUse.contains(orderedVersion.get())
+                            && !currentAndFormerVersions.contains(orderedVersion.get())
                             && !halted.contains(orderedVersion.get());
             if (running || !pendingRewrites.isEmpty()) {
                 return;
@@ -237,7 +240,7 @@
         private void halt() {
             final Canary canary = state.canary(SERVICE);
             if (orderedVersion.isPresent()
-                    && !versionsInUse.contains(orderedVersion.get())
+                    && !currentAndFormerVersions.contains(orderedVersion.get())
                     && canary.admits(orderedVersion.get(), true)) {
                 for (int i = 0; i < 10; i++) {
                     canary.onResponse(BackendServerId.of("i-" + i), orderedVersion.get(), true, 0);
@@ -308,7 +311,7 @@
                             o -> {
                                 final boolean completed = o.phase() == RolloutPhase.COMPLETED;
                                 if (completed) {
-                                    versionInUse = o.target();
+                                    currentVersion = o.target();
                                 }
                                 stopServers(o.target(), completed);
                             });
@@ -327,7 +330,7 @@
         private void check() {
             store.order("models")
                     .filter(o -> o.phase() == RolloutPhase.COMPLETED)
-                    .ifPresent(o -> versionsInUse.add(o.target()));
+                    .ifPresent(o -> currentAndFormerVersions.add(o.target()));
             final long version = state.configuration().map(c -> c.version()).orElse(0L);
             assertThat(version).isGreaterThanOrEqualTo(lastConfiguration);
             lastConfiguration = version;
@@ -339,12 +342,12 @@
             assertThat(usable()).as("drained servers").noneMatch(seenDraining::contains);
             final Canary canary = state.canary(SERVICE);
             for (int i = 1; i <= lastNumber; i++) {
-                final String candidate = "v" + i;
-                if (!versionsInUse.contains(candidate)) {
-                    assertThat(canary.admits(candidate, false)).as(candidate).isFalse();
+                final String versionName = "v" + i;
+                if (!currentAndFormerVersions.contains(versionName)) {
+                    assertThat(canary.admits(versionName, false)).as(versionName).isFalse();
                 }
-                if (halted.contains(candidate)) {
-                    assertThat(canary.admits(candidate, true)).as(candidate).isFalse();
+                if (halted.contains(versionName)) {
+                    assertThat(canary.admits(versionName, true)).as(versionName).isFalse();
                 }
             }
         }
