--- a/fennelstage-gateway/src/main/java/org/fennelstage/store/CoalescedStore.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/store/CoalescedStore.java
@@ -215,8 +215,8 @@
     }
 
     private Duration configurationWatchTime() {
-        final Duration available = maxPropagationDelay.get().minus(RECOVERY_RESERVE);
-        return available.compareTo(MIN_WATCH) < 0 ? MIN_WATCH : available;
+        final Duration watchTime = maxPropagationDelay.get().minus(RECOVERY_RESERVE);
+        return watchTime.compareTo(MIN_WATCH) < 0 ? MIN_WATCH : watchTime;
     }
 
     private Optional<Store> relay() {
--- a/fennelstage-gateway/src/main/java/org/fennelstage/store/EraTracker.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/store/EraTracker.java
@@ -65,7 +65,7 @@
     }
 
     /**
-     * Tells whether a position is of a former era.
+     * Returns whether a position is of a former era.
      *
      * @param position the position
      * @return true if a newer era is known
--- a/fennelstage-gateway/src/main/java/org/fennelstage/store/FallbackStore.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/store/FallbackStore.java
@@ -147,7 +147,7 @@
     }
 
     /**
-     * Tells whether this VM may relay a call of another VM to the store. While the store is
+     * Returns whether this VM may relay a call of another VM to the store. While the store is
      * unavailable to this VM, one call after each pause is allowed as a probe. Each probe restarts
      * the pause.
      *
--- a/fennelstage-gateway/src/main/java/org/fennelstage/store/Follower.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/store/Follower.java
@@ -172,8 +172,8 @@
     }
 
     /**
-     * Tells whether a page is of the era that this follower has listed. A page of a newer era makes
-     * all followers list again, including this one.
+     * Returns whether a page is of the era that this follower has listed. A page of a newer era
+     * makes all followers list again, including this one.
      */
     private boolean isCurrentEra(final Page<T> page) {
         final int roundBefore = round;
--- a/fennelstage-gateway/src/main/java/org/fennelstage/store/Page.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/store/Page.java
@@ -8,7 +8,7 @@
 /**
  * One page of a list, or the changes since a revision. Immutable and thread-safe.
  *
- * @param <T> what an object decodes to
+ * @param <T> the type that objects decode to
  * @param values the objects
  * @param next the name after which the list continues, empty on the last page
  * @param position the store position that the objects reflect
--- a/fennelstage-gateway/src/main/java/org/fennelstage/store/StoredValue.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/store/StoredValue.java
@@ -7,7 +7,7 @@
 /**
  * One stored object, or its deletion. Immutable and thread-safe.
  *
- * @param <T> what the object decodes to
+ * @param <T> the type that the object decodes to
  * @param name its name within its kind
  * @param position the store position of its last change
  * @param value its content, empty if it was deleted or is malformed
