--- a/fennelstage-bench/src/main/java/org/fennelstage/bench/SlopesMain.java
+++ b/fennelstage-bench/src/main/java/org/fennelstage/bench/SlopesMain.java
@@ -19,7 +19,7 @@
 import org.fennelstage.id.VersionId;
 import org.fennelstage.id.VmId;
 import org.fennelstage.log.LogSetup;
-import org.fennelstage.main.RouterNode;
+import org.fennelstage.main.RouterVm;
 import org.fennelstage.objects.CallPriority;
 import org.fennelstage.objects.DeclarationKind;
 import org.fennelstage.objects.Declarations;
@@ -76,7 +76,7 @@
             declare(store, i, 8);
         }
         final long heapBefore = usedHeap();
-        final List<RouterNode> nodes = new ArrayList<>();
+        final List<RouterVm> nodes = new ArrayList<>();
         for (int i = 0; i < vms; i++) {
             nodes.add(start(i, nodes, api.port()));
         }
@@ -112,14 +112,14 @@
                 (double) (later.writes() - calls.writes()) / SECONDS,
                 inForce[CHANGES / 2],
                 inForce[CHANGES - 1]);
-        nodes.forEach(RouterNode::close);
+        nodes.forEach(RouterVm::close);
         api.close();
         store.close();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
 
     /** Changes one object again and again; returns the sorted times until all VMs have it. */
-    private static long[] inForce(final MemoryObjectStore store, final List<RouterNode> nodes)
+    private static long[] inForce(final MemoryObjectStore store, final List<RouterVm> nodes)
             throws InterruptedException {
         final long[] millis = new long[CHANGES];
         for (int i = 0; i < CHANGES; i++) {
@@ -135,8 +135,7 @@
         return millis;
     }
 
-    private static RouterNode start(
-            final int index, final List<RouterNode> nodes, final int objectPort)
+    private static RouterVm start(final int index, final List<RouterVm> nodes, final int objectPort)
             throws IOException {
         final List<InetSocketAddress> seeds =
                 nodes.stream()
@@ -159,7 +158,7 @@
                         new Settings.Tls(Optional.empty(), Optional.empty()),
                         new Settings.Log(false, "error"),
                         Duration.ofSeconds(1));
-        return RouterNode.start(settings, RouterNode.Environment.standard());
+        return RouterVm.start(settings, RouterVm.Environment.standard());
     }
 
     private static Revision declare(
--- a/fennelstage-router/src/main/java/org/fennelstage/main/Main.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/main/Main.java
@@ -100,7 +100,7 @@
 
     private static int serve(final Settings settings) throws IOException {
         LogSetup.apply(settings.log().json(), settings.log().level());
-        final RouterNode node = RouterNode.start(settings, RouterNode.Environment.standard());
+        final RouterVm node = RouterVm.start(settings, RouterVm.Environment.standard());
         Runtime.getRuntime().addShutdownHook(new Thread(node::stop, "graceful-stop"));
         return SUCCESS;
     }
--- a/fennelstage-router/src/main/java/org/fennelstage/main/RouterNode.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/main/RouterVm.java
@@ -57,7 +57,7 @@
  * <p>Lock order: every shared table has one monitor, and no method holds a monitor while it calls
  * another table, a peer or the object API; so no order is needed. Thread-safe.
  */
-public final class RouterNode implements AutoCloseable {
+public final class RouterVm implements AutoCloseable {
 
     private static final Duration PEER_GRACE = Duration.ofMillis(400);
     private static final Duration STOP_STEP = Duration.ofMillis(20);
@@ -132,7 +132,7 @@
         }
     }
 
-    private RouterNode(final Settings settings, final Environment environment) throws IOException {
+    private RouterVm(final Settings settings, final Environment environment) throws IOException {
         this.settings = settings;
         this.group = new NioEventLoopGroup(environment.threads());
         this.control = group.next();
@@ -228,9 +228,9 @@
      * @return the running VM; it is ready once it has a configuration
      * @throws IOException if an address cannot be bound or a key file cannot be read
      */
-    public static RouterNode start(final Settings settings, final Environment environment)
+    public static RouterVm start(final Settings settings, final Environment environment)
             throws IOException {
-        final RouterNode node = new RouterNode(settings, environment);
+        final RouterVm node = new RouterVm(settings, environment);
         node.begin();
         return node;
     }
--- a/fennelstage-router/src/main/java/org/fennelstage/main/Trial.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/main/Trial.java
@@ -61,7 +61,7 @@
     private final MemoryObjectStore store = MemoryObjectStore.empty();
     private final List<AutoCloseable> standIns = new ArrayList<>();
     private final ObjectApiStandIn objects;
-    private final RouterNode node;
+    private final RouterVm node;
 
     private Trial(final int port) throws IOException {
         objects = ObjectApiStandIn.start(group, any(), store, SEED);
@@ -70,9 +70,9 @@
         standIns.add(rating);
         declare();
         node =
-                RouterNode.start(
+                RouterVm.start(
                         settings(port, rating.port()),
-                        RouterNode.Environment.standard().withStore(store));
+                        RouterVm.Environment.standard().withStore(store));
         awaitReady();
     }
 
--- a/fennelstage-router/src/test/java/org/fennelstage/main/Fleet.java
+++ b/fennelstage-router/src/test/java/org/fennelstage/main/Fleet.java
@@ -80,7 +80,7 @@
     private final MemoryObjectStore store = MemoryObjectStore.empty();
     private final List<ObjectApiStandIn> apis = new ArrayList<>();
     private final List<ModelEngine> engines = new ArrayList<>();
-    private final List<RouterNode> nodes = new ArrayList<>();
+    private final List<RouterVm> nodes = new ArrayList<>();
     private final List<Integer> peerPorts = new ArrayList<>();
     private final Map<Integer, Integer> dataCentreOfPort = new ConcurrentHashMap<>();
     private final Set<List<Integer>> cuts = ConcurrentHashMap.newKeySet();
@@ -134,7 +134,7 @@
             peerPorts.add(0);
             start(i);
         }
-        await("all VMs ready", () -> nodes.stream().allMatch(RouterNode::isReady));
+        await("all VMs ready", () -> nodes.stream().allMatch(RouterVm::isReady));
         await("all VMs know their data centre", this::isWhole);
     }
 
@@ -158,11 +158,11 @@
         }
     }
 
-    RouterNode node(final int index) {
+    RouterVm node(final int index) {
         return nodes.get(index);
     }
 
-    List<RouterNode> nodes() {
+    List<RouterVm> nodes() {
         return nodes;
     }
 
@@ -172,10 +172,10 @@
 
     void start(final int index) throws IOException {
         final int dc = index / perDataCentre;
-        final RouterNode node =
-                RouterNode.start(
+        final RouterVm node =
+                RouterVm.start(
                         settings(index, dc),
-                        new RouterNode.Environment(
+                        new RouterVm.Environment(
                                 Optional.empty(),
                                 InstantSource.system(),
                                 address -> permits(dc, address),
@@ -305,7 +305,7 @@
 
     @Override
     public void close() {
-        nodes.forEach(RouterNode::close);
+        nodes.forEach(RouterVm::close);
         engines.forEach(ModelEngine::close);
         apis.forEach(ObjectApiStandIn::close);
         service.close();
--- a/fennelstage-router/src/test/java/org/fennelstage/main/TlsTest.java
+++ b/fennelstage-router/src/test/java/org/fennelstage/main/TlsTest.java
@@ -44,9 +44,9 @@
     @Test
     void vmsWithCertificatesOfTheAuthorityJoinAndAStrangerDoesNot() throws IOException {
         try (MemoryObjectStore store = store();
-                RouterNode first = start(store, "vm-a", keys("vm-a"), List.of());
-                RouterNode second = start(store, "vm-b", keys("vm-b"), List.of(first));
-                RouterNode stranger = start(store, "stranger", keys("stranger"), List.of(first))) {
+                RouterVm first = start(store, "vm-a", keys("vm-a"), List.of());
+                RouterVm second = start(store, "vm-b", keys("vm-b"), List.of(first));
+                RouterVm stranger = start(store, "stranger", keys("stranger"), List.of(first))) {
             Fleet.await(
                     "the two to know each other",
                     () ->
@@ -61,7 +61,7 @@
     @Test
     void callersAreServedOverTlsOnly() throws Exception {
         try (MemoryObjectStore store = store();
-                RouterNode node = start(store, "vm-a", keys("vm-a"), List.of())) {
+                RouterVm node = start(store, "vm-a", keys("vm-a"), List.of())) {
             Fleet.await("ready", node::isReady);
             final HttpResponse<String> answer =
                     client().send(
@@ -130,11 +130,11 @@
         return store;
     }
 
-    private static RouterNode start(
+    private static RouterVm start(
             final MemoryObjectStore store,
             final String name,
             final Settings.KeyFiles keys,
-            final List<RouterNode> seeds)
+            final List<RouterVm> seeds)
             throws IOException {
         final Settings.KeyFiles forCallers =
                 new Settings.KeyFiles(keys.certificate(), keys.key(), Optional.empty());
@@ -151,7 +151,7 @@
                         new Settings.Tls(Optional.of(forCallers), Optional.of(keys)),
                         new Settings.Log(false, "warn"),
                         Duration.ofSeconds(1));
-        return RouterNode.start(settings, RouterNode.Environment.standard().withStore(store));
+        return RouterVm.start(settings, RouterVm.Environment.standard().withStore(store));
     }
 
     private static HttpRequest request(final String scheme, final int port) {
