--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/RelayedCall.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/RelayedCall.java
@@ -61,7 +61,7 @@
      * @param maxResponses how many requesters may get it, at least one; the others get 413 and call
      *     the store directly
      */
-    void respond(final Responses.Whole whole, final long maxResponses) {
+    void respond(final Responses.FullResponse whole, final long maxResponses) {
         final Map<String, String> headers = endToEnd(whole.headers());
         long responded = 0;
         for (final ServerExchange requester : List.copyOf(requesters)) {
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/StoreRelay.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/StoreRelay.java
@@ -118,7 +118,8 @@
                         failure -> onFailure(uri, read, failure)));
     }
 
-    private void onResponse(final String uri, final RelayedCall read, final Responses.Whole whole) {
+    private void onResponse(
+            final String uri, final RelayedCall read, final Responses.FullResponse whole) {
         reads.remove(uri, read);
         if (whole.status() >= SERVER_ERROR || whole.status() == TOO_MANY_CALLS) {
             fallback.onRelayFailed("store responded with status " + whole.status());
--- a/fennelstage-http/src/main/java/org/fennelstage/http/Responses.java
+++ b/fennelstage-http/src/main/java/org/fennelstage/http/Responses.java
@@ -18,7 +18,7 @@
      * @param headers the headers
      * @param body the body
      */
-    public record Whole(int status, HttpHeaders headers, byte[] body) {}
+    public record FullResponse(int status, HttpHeaders headers, byte[] body) {}
 
     /**
      * Returns a listener that collects the complete response.
@@ -28,7 +28,7 @@
      * @return the listener; not thread-safe
      */
     public static ResponseListener collecting(
-            final Consumer<Whole> onResponse, final Consumer<CallFailure> onFailure) {
+            final Consumer<FullResponse> onResponse, final Consumer<CallFailure> onFailure) {
         return new ResponseListener() {
             private final ByteArrayOutputStream body = new ByteArrayOutputStream();
             private int status;
@@ -47,7 +47,7 @@
 
             @Override
             public void onEnd() {
-                onResponse.accept(new Whole(status, headers, body.toByteArray()));
+                onResponse.accept(new FullResponse(status, headers, body.toByteArray()));
             }
 
             @Override
--- a/fennelstage-http/src/test/java/org/fennelstage/http/HttpClientTest.java
+++ b/fennelstage-http/src/test/java/org/fennelstage/http/HttpClientTest.java
@@ -47,7 +47,9 @@
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
 
-    /** Sends a request; completes with a {@code Responses.Whole} or a {@code CallFailure}. */
+    /**
+     * Sends a request; completes with a {@code Responses.FullResponse} or a {@code CallFailure}.
+     */
     private CompletableFuture<Object> send(final boolean newConnection) {
         return send(CallOptions.of(TIMEOUT, TIMEOUT, newConnection));
     }
@@ -97,7 +99,7 @@
         final CompletableFuture<Object> first = send(false);
         final Socket socket = accept();
         respond(socket);
-        assertThat(first.get()).isInstanceOf(Responses.Whole.class);
+        assertThat(first.get()).isInstanceOf(Responses.FullResponse.class);
         return socket;
     }
 
@@ -131,13 +133,13 @@
         final CompletableFuture<Object> own = send(true);
         final Socket second = accept();
         respond(second);
-        assertThat(own.get()).isInstanceOf(Responses.Whole.class);
+        assertThat(own.get()).isInstanceOf(Responses.FullResponse.class);
 
         final List<CompletableFuture<Object>> next = List.of(send(false), send(false));
         respond(kept);
         respond(second);
-        assertThat(next.get(0).get()).isInstanceOf(Responses.Whole.class);
-        assertThat(next.get(1).get()).isInstanceOf(Responses.Whole.class);
+        assertThat(next.get(0).get()).isInstanceOf(Responses.FullResponse.class);
+        assertThat(next.get(1).get()).isInstanceOf(Responses.FullResponse.class);
         assertThat(client.connectionsOpened()).isEqualTo(2);
     }
 
@@ -172,7 +174,7 @@
             respond(socket);
         }
         for (final CompletableFuture<Object> call : calls) {
-            assertThat(call.get()).isInstanceOf(Responses.Whole.class);
+            assertThat(call.get()).isInstanceOf(Responses.FullResponse.class);
         }
         final CompletableFuture<Object> third = send(one);
         int closed = 0;
@@ -184,7 +186,7 @@
             }
         }
         assertThat(closed).isEqualTo(1);
-        assertThat(third.get()).isInstanceOf(Responses.Whole.class);
+        assertThat(third.get()).isInstanceOf(Responses.FullResponse.class);
         assertThat(client.connectionsOpened()).isEqualTo(2);
     }
 
@@ -204,7 +206,7 @@
         readHead(socket);
         socket.getOutputStream().write(RESPONSE.getBytes(StandardCharsets.US_ASCII));
         assertThat(end.get(TIMEOUT.toMillis(), TimeUnit.MILLISECONDS))
-                .isInstanceOf(Responses.Whole.class);
+                .isInstanceOf(Responses.FullResponse.class);
         assertThat(client.connectionsOpened()).isEqualTo(1);
     }
 
--- a/fennelstage-objects/src/main/java/org/fennelstage/objects/ObjectApiClient.java
+++ b/fennelstage-objects/src/main/java/org/fennelstage/objects/ObjectApiClient.java
@@ -138,7 +138,7 @@
     private void call(
             final FullHttpRequest request,
             final Duration inactivityTimeout,
-            final Consumer<Responses.Whole> onResponse,
+            final Consumer<Responses.FullResponse> onResponse,
             final Consumer<CallFailure> onFailure) {
         http.eventLoop()
                 .execute(
@@ -159,7 +159,7 @@
                 Unpooled.wrappedBuffer(value));
     }
 
-    private static ReadResult toRead(final ObjectKey key, final Responses.Whole response) {
+    private static ReadResult toRead(final ObjectKey key, final Responses.FullResponse response) {
         return switch (response.status()) {
             case OK -> new ReadResult.Found(toObject(key, response));
             case NOT_FOUND -> new ReadResult.Found(StoredObject.tombstone(key, revision(response)));
@@ -168,7 +168,7 @@
         };
     }
 
-    private static WriteResult toWrite(final ObjectKey key, final Responses.Whole response) {
+    private static WriteResult toWrite(final ObjectKey key, final Responses.FullResponse response) {
         return switch (response.status()) {
             case OK -> new WriteResult.Written(revision(response));
             case CONFLICT -> new WriteResult.Conflict(toObject(key, response));
@@ -183,7 +183,7 @@
                 : new WriteResult.Unknown(failure.detail());
     }
 
-    private static ChangesResult toChanges(final Responses.Whole response) {
+    private static ChangesResult toChanges(final Responses.FullResponse response) {
         if (response.status() != OK) {
             return new ChangesResult.Unavailable("object API returned status " + response.status());
         }
@@ -205,7 +205,8 @@
                 Optional.ofNullable(wire.value()));
     }
 
-    private static StoredObject toObject(final ObjectKey key, final Responses.Whole response) {
+    private static StoredObject toObject(
+            final ObjectKey key, final Responses.FullResponse response) {
         final Revision revision = revision(response);
         final boolean deleted = response.headers().contains("x-deleted");
         return deleted
@@ -213,7 +214,7 @@
                 : StoredObject.of(key, revision, response.body());
     }
 
-    private static Revision revision(final Responses.Whole response) {
+    private static Revision revision(final Responses.FullResponse response) {
         final String text = response.headers().get(ObjectApiProtocol.REVISION, "0");
         return Revision.of(Long.parseLong(text));
     }
--- a/fennelstage-router/src/main/java/org/fennelstage/route/RatingClient.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/RatingClient.java
@@ -63,7 +63,8 @@
         return (Rendezvous.weight("sample", key) >>> 11) * 0x1.0p-53;
     }
 
-    private static void onResponse(final Responses.Whole response, final DoubleConsumer onRating) {
+    private static void onResponse(
+            final Responses.FullResponse response, final DoubleConsumer onRating) {
         if (response.status() != STATUS_OK) {
             return;
         }
