--- a/fennelstage-bench/src/main/java/org/fennelstage/bench/ExposureMain.java
+++ b/fennelstage-bench/src/main/java/org/fennelstage/bench/ExposureMain.java
@@ -222,7 +222,7 @@
             if (vmHalted[vm] || dcHalted[dc] || random.nextDouble() >= STEPS.get(step)) {
                 return;
             }
-            if (policy == Policy.SHARES && !keepers.get(dc).request().granted()) {
+            if (policy == Policy.SHARES && !keepers.get(dc).requestExposure().granted()) {
                 return;
             }
             exposed++;
@@ -297,9 +297,9 @@
             boolean anyHalt = false;
             for (int dc = 0; dc < DATA_CENTRES; dc++) {
                 if (now < platformDownAfter) {
-                    keepers.get(dc).tick();
+                    keepers.get(dc).synchronizeProgress();
                 }
-                final var progress = keepers.get(dc).judged();
+                final var progress = keepers.get(dc).computeProgress();
                 anyHalt |= progress.halted().isPresent();
                 step = Math.max(step, Math.min(progress.step(), STEPS.size() - 1));
                 done |= progress.done();
@@ -308,7 +308,7 @@
                 Arrays.fill(dcHalted, true);
                 if (deafDataCentre >= 0) {
                     dcHalted[deafDataCentre] =
-                            keepers.get(deafDataCentre).judged().halted().isPresent();
+                            keepers.get(deafDataCentre).computeProgress().halted().isPresent();
                 }
             }
             halted = true;
--- a/fennelstage-router/src/main/java/org/fennelstage/control/RolloutKeeper.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/control/RolloutKeeper.java
@@ -103,8 +103,8 @@
      *
      * @return the grant and the state of the rollout
      */
-    public synchronized Share request() {
-        final RolloutProgress judged = judged();
+    public synchronized Share requestExposure() {
+        final RolloutProgress judged = computeProgress();
         final boolean isTakeoverComplete =
                 clock.millis() - startedMillis >= TAKEOVER_PERIOD.toMillis();
         final boolean isGranted =
@@ -124,7 +124,7 @@
      *
      * @return the progress
      */
-    public synchronized RolloutProgress judged() {
+    public synchronized RolloutProgress computeProgress() {
         final RolloutProgress judged =
                 progress.report(dataCentre, totalEvidence(), rollout, policy, ratedShare);
         return externalHalt.map(judged::halt).orElse(judged);
@@ -134,7 +134,7 @@
      * Checks whether the new version degrades after its rollout is done; called about once a
      * second. Uses only the evidence of this data centre and does not depend on the store.
      */
-    public synchronized void watch() {
+    public synchronized void detectDrift() {
         if (!progress.done() || clock.millis() - startedMillis < TAKEOVER_PERIOD.toMillis()) {
             return;
         }
@@ -156,7 +156,7 @@
     }
 
     /** Reads the progress object and writes new progress; called about once a second. */
-    public void tick() {
+    public void synchronizeProgress() {
         synchronized (this) {
             if (busy) {
                 return;
@@ -179,7 +179,7 @@
         final RolloutProgress next;
         final Revision expected;
         synchronized (this) {
-            final RolloutProgress judged = judged();
+            final RolloutProgress judged = computeProgress();
             final long remaining = judged.granted(dataCentre) - used();
             final long wanted = Math.max(MIN_WANTED, 2L * recentlyGranted());
             next =
--- a/fennelstage-router/src/main/java/org/fennelstage/control/Rollouts.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/control/Rollouts.java
@@ -148,7 +148,7 @@
             return CompletableFuture.completedFuture(Share.NONE);
         }
         if (holder.get().equals(duties.self())) {
-            final Share share = keeper(rollout).request();
+            final Share share = keeper(rollout).requestExposure();
             recordShare(rollout, share);
             return CompletableFuture.completedFuture(share);
         }
@@ -197,7 +197,7 @@
             case SHARE_REQUEST -> {
                 final Share share =
                         find(message.getShareRequest().getRollout())
-                                .map(r -> keeper(r).request())
+                                .map(r -> keeper(r).requestExposure())
                                 .orElse(Share.NONE);
                 reply.accept(encode(share));
             }
@@ -227,8 +227,8 @@
 
     private void keep(final Rollout rollout) {
         final RolloutKeeper keeper = keeper(rollout);
-        keeper.watch();
-        final RolloutProgress progress = keeper.judged();
+        keeper.detectDrift();
+        final RolloutProgress progress = keeper.computeProgress();
         halts.find(rollout.id()).ifPresent(keeper::halt);
         if (progress.halted().isPresent()) {
             halt(rollout, progress.halted().get());
@@ -236,7 +236,7 @@
         if (progress.done()) {
             recordShare(rollout, new Share(false, progress.step(), false, true));
         }
-        keeper.tick();
+        keeper.synchronizeProgress();
     }
 
     private void halt(final Rollout rollout, final Signal signal) {
@@ -291,7 +291,7 @@
                         r -> {
                             final RolloutKeeper keeper = keeper(r);
                             keeper.report(source(sender, report.getIncarnation()), evidence);
-                            keeper.judged().halted().ifPresent(signal -> halt(r, signal));
+                            keeper.computeProgress().halted().ifPresent(signal -> halt(r, signal));
                         });
     }
 
