--- a/fennelstage-router/src/main/java/org/fennelstage/control/BillWriter.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/control/BillWriter.java
@@ -16,8 +16,8 @@
 import org.fennelstage.objects.WriteResult;
 
 /**
- * Appends bills to segments that only this incarnation of this VM writes, so that keepers do not
- * contend for objects.
+ * Appends bills to segments that only this incarnation of this VM writes, so that VMs do not
+ * compete for objects.
  *
  * <p>Invariant: at most one append is in progress. After a write with an unknown result the segment
  * is written again with the same expected revision; a conflict then means that the earlier write
--- a/fennelstage-router/src/main/java/org/fennelstage/control/Bills.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/control/Bills.java
@@ -43,14 +43,14 @@
  */
 public final class Bills {
 
-    /** The duty of writing a data centre's bills. */
+    /** The duty of writing the bills of a data centre. */
     public static final String DUTY = "bills";
 
-    private static final Duration HOLD_TIMEOUT = Duration.ofMillis(300);
+    private static final Duration REPLICATION_TIMEOUT = Duration.ofMillis(300);
     private static final Duration FLUSH_PERIOD = Duration.ofSeconds(1);
     private static final Duration RESEND_AFTER = Duration.ofSeconds(5);
     private static final int MAX_KEEPERS_TRIED = 2;
-    private static final int RESEND_BATCH = 200;
+    private static final int MAX_RESEND_BATCH = 200;
 
     private final Duties duties;
     private final BillWriter writer;
@@ -73,7 +73,7 @@
     private record HeldBill(Bill bill, VmId origin) {}
 
     /**
-     * Creates the bills of this VM; {@link #start} starts the timers.
+     * Creates an instance without bills; {@link #start} starts periodic writes.
      *
      * @param duties determines the keepers and sends messages to them
      * @param store the store
@@ -109,7 +109,7 @@
         synchronized (this) {
             ownBills.put(bill.request(), new OwnBill(bill, clock.millis()));
         }
-        return hold(bill, duties.others(DUTY), 0);
+        return replicate(bill, duties.others(DUTY), 0);
     }
 
     /**
@@ -170,7 +170,7 @@
      */
     public boolean handle(final Envelope message, final Consumer<Envelope.Builder> reply) {
         switch (message.getBodyCase()) {
-            case BILLS -> keep(message, reply);
+            case BILLS -> holdForSender(message, reply);
             case BILLS_SETTLED ->
                     message.getBillsSettled()
                             .getRequestsList()
@@ -182,20 +182,20 @@
         return true;
     }
 
-    private CompletableFuture<Void> hold(
+    private CompletableFuture<Void> replicate(
             final Bill bill, final List<VmId> keepers, final int next) {
         if (next >= keepers.size() || next >= MAX_KEEPERS_TRIED) {
-            return writeAlone(bill);
+            return writeWithoutKeeper(bill);
         }
-        return duties.request(keepers.get(next), encode(List.of(bill)), HOLD_TIMEOUT)
+        return duties.request(keepers.get(next), encode(List.of(bill)), REPLICATION_TIMEOUT)
                 .thenCompose(
                         reply ->
                                 reply.isPresent()
                                         ? CompletableFuture.<Void>completedFuture(null)
-                                        : hold(bill, keepers, next + 1));
+                                        : replicate(bill, keepers, next + 1));
     }
 
-    private CompletableFuture<Void> writeAlone(final Bill bill) {
+    private CompletableFuture<Void> writeWithoutKeeper(final Bill bill) {
         // No other VM holds the bill, so this VM writes it to the store itself. The response waits
         // for the write for a limited time; if the store is unavailable too, it is sent anyway.
         synchronized (this) {
@@ -204,7 +204,7 @@
         }
         final CompletableFuture<Void> done = new CompletableFuture<>();
         flush();
-        awaitWritten(bill.request(), clock.millis() + HOLD_TIMEOUT.toMillis(), done);
+        awaitWritten(bill.request(), clock.millis() + REPLICATION_TIMEOUT.toMillis(), done);
         return done;
     }
 
@@ -232,7 +232,7 @@
         }
     }
 
-    private void keep(final Envelope message, final Consumer<Envelope.Builder> reply) {
+    private void holdForSender(final Envelope message, final Consumer<Envelope.Builder> reply) {
         final VmId origin = VmId.of(message.getSender());
         try {
             for (final ByteString bytes : message.getBills().getBillsList()) {
@@ -272,28 +272,28 @@
 
     private void resend() {
         final long now = clock.millis();
-        final List<Bill> late = new ArrayList<>();
+        final List<Bill> overdue = new ArrayList<>();
         synchronized (this) {
             final Iterator<OwnBill> all = ownBills.values().iterator();
-            while (all.hasNext() && late.size() < RESEND_BATCH) {
-                final OwnBill candidate = all.next();
-                if (now - candidate.sentMillis >= RESEND_AFTER.toMillis()) {
-                    candidate.sentMillis = now;
-                    late.add(candidate.bill);
+            while (all.hasNext() && overdue.size() < MAX_RESEND_BATCH) {
+                final OwnBill own = all.next();
+                if (now - own.sentMillis >= RESEND_AFTER.toMillis()) {
+                    own.sentMillis = now;
+                    overdue.add(own.bill);
                 }
             }
         }
-        if (late.isEmpty()) {
+        if (overdue.isEmpty()) {
             return;
         }
         final Optional<VmId> keeper = duties.others(DUTY).stream().findFirst();
         if (keeper.isPresent()) {
-            duties.send(keeper.get(), encode(late));
+            duties.send(keeper.get(), encode(overdue));
             return;
         }
         synchronized (this) {
-            late.forEach(b -> heldBills.put(b.request(), new HeldBill(b, duties.self())));
-            late.forEach(b -> ownBills.remove(b.request()));
+            overdue.forEach(b -> heldBills.put(b.request(), new HeldBill(b, duties.self())));
+            overdue.forEach(b -> ownBills.remove(b.request()));
         }
     }
 
--- a/fennelstage-router/src/main/java/org/fennelstage/control/ClaimKeeper.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/control/ClaimKeeper.java
@@ -30,9 +30,11 @@
 import org.fennelstage.objects.WriteResult;
 
 /**
- * Applies changes to claims in batches, by conditional writes of the open segment of each slot.
+ * Applies changes to claims in batches, by conditional writes to the store. Keys are hashed to
+ * slots; the claims of a slot are stored in numbered segments, of which only the last one is open
+ * for changes.
  *
- * <p>Invariant: {@link ClaimAnswer.Made} is returned only after the store holds the change. Several
+ * <p>Invariant: {@link ClaimResult.Made} is returned only after the store holds the change. Several
  * keepers may work on a slot concurrently: one conditional write succeeds, and the others read the
  * result and retry on top of it. The state of a keeper is only a cache. Thread-safe; one monitor
  * per slot guards its queue and cache, and futures are completed outside of it.
@@ -78,7 +80,7 @@
      * @param change the change
      * @return the result of the change
      */
-    public CompletableFuture<ClaimAnswer> submit(final int slot, final ClaimChange change) {
+    public CompletableFuture<ClaimResult> submit(final int slot, final ClaimChange change) {
         final Slot target;
         synchronized (slots) {
             target = slots.computeIfAbsent(slot, Slot::new);
@@ -100,9 +102,9 @@
     }
 
     private record PendingChange(
-            ClaimChange change, CompletableFuture<ClaimAnswer> future, long deadlineMillis) {}
+            ClaimChange change, CompletableFuture<ClaimResult> future, long deadlineMillis) {}
 
-    private record Completion(CompletableFuture<ClaimAnswer> future, ClaimAnswer value) {
+    private record Completion(CompletableFuture<ClaimResult> future, ClaimResult value) {
         void complete() {
             future.complete(value);
         }
@@ -123,8 +125,8 @@
             this.backoff = Backoff.of(random, MIN_RETRY_DELAY, MAX_RETRY_DELAY);
         }
 
-        CompletableFuture<ClaimAnswer> submit(final ClaimChange change) {
-            final CompletableFuture<ClaimAnswer> future = new CompletableFuture<>();
+        CompletableFuture<ClaimResult> submit(final ClaimChange change) {
+            final CompletableFuture<ClaimResult> future = new CompletableFuture<>();
             final long deadline = clock.millis() + timeout.toMillis();
             synchronized (this) {
                 queue.add(new PendingChange(change, future, deadline));
@@ -145,7 +147,7 @@
          * Processes the queue; called only by the thread that set {@code busy}, or its callbacks.
          */
         private void step() {
-            failOverdue();
+            failOverdueChanges();
             final boolean isLoaded;
             synchronized (this) {
                 if (queue.isEmpty()) {
@@ -236,14 +238,15 @@
             for (final PendingChange pending : batch) {
                 final ClaimChange change = pending.change();
                 if (log.contains(change)) {
-                    completions.add(new Completion(pending.future(), new ClaimAnswer.Made()));
+                    completions.add(new Completion(pending.future(), new ClaimResult.Made()));
                 } else if (current.allows(change)) {
                     current = current.advance(current.open().with(change));
                     written.add(pending);
                 } else {
-                    final Claim held = current.find(change.key()).orElseGet(() -> change.claim());
+                    final Claim existing =
+                            current.find(change.key()).orElseGet(() -> change.claim());
                     completions.add(
-                            new Completion(pending.future(), new ClaimAnswer.Refused(held)));
+                            new Completion(pending.future(), new ClaimResult.Conflict(existing)));
                 }
             }
             return current.open();
@@ -259,7 +262,7 @@
                     revision = segment.sealed() ? Revision.NONE : done.revision();
                     backoff.reset();
                 }
-                written.forEach(w -> w.future().complete(new ClaimAnswer.Made()));
+                written.forEach(p -> p.future().complete(new ClaimResult.Made()));
                 step();
                 return;
             }
@@ -324,25 +327,25 @@
             queue = all;
         }
 
-        private void failOverdue() {
+        private void failOverdueChanges() {
             final long now = clock.millis();
             final List<PendingChange> overdue = new ArrayList<>();
             synchronized (this) {
                 queue.removeIf(
-                        w -> {
-                            final boolean isOverdue = now >= w.deadlineMillis();
+                        p -> {
+                            final boolean isOverdue = now >= p.deadlineMillis();
                             if (isOverdue) {
-                                overdue.add(w);
+                                overdue.add(p);
                             }
                             return isOverdue;
                         });
             }
             overdue.forEach(
-                    w ->
-                            w.future()
+                    p ->
+                            p.future()
                                     .complete(
-                                            new ClaimAnswer.Unavailable(
-                                                    "the store did not confirm in time")));
+                                            new ClaimResult.Unavailable(
+                                                    "the store did not confirm the claim in time")));
         }
 
         private void scheduleStep() {
--- a/fennelstage-router/src/main/java/org/fennelstage/control/Claims.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/control/Claims.java
@@ -24,14 +24,14 @@
  * Takes, completes and releases claims for the requests of this VM, through the keeper of each
  * key's slot in this data centre or, if the keeper does not reply, through this VM's own keeper.
  *
- * <p>Invariant: a claim is taken only if {@link ClaimAnswer.Made} arrives before the timeout; a
+ * <p>Invariant: a claim is taken only if {@link ClaimResult.Made} arrives before the timeout; a
  * request whose claim timed out never runs, even if the claim is written later. Thread-safe.
  */
 public final class Claims {
 
     private static final Claim.State[] STATES = Claim.State.values();
-    private static final Duration RELEASE_RETRY = Duration.ofSeconds(2);
-    private static final int RELEASE_TRIES = 30;
+    private static final Duration RELEASE_RETRY_DELAY = Duration.ofSeconds(2);
+    private static final int MAX_RELEASE_TRIES = 30;
 
     private final Duties duties;
     private final ClaimKeeper keeper;
@@ -81,15 +81,15 @@
      *
      * @param key the claim's key
      * @param holder the request
-     * @return made, refused or unavailable; completes at the timeout at the latest
+     * @return the result; completes at the timeout at the latest
      */
-    public CompletableFuture<ClaimAnswer> take(final String key, final RequestId holder) {
+    public CompletableFuture<ClaimResult> take(final String key, final RequestId holder) {
         final Claim claim = new Claim(holder, duties.self(), Claim.State.HELD, clock.millis());
         final ClaimChange change = new ClaimChange(key, claim);
-        final CompletableFuture<ClaimAnswer> result = new CompletableFuture<>();
+        final CompletableFuture<ClaimResult> result = new CompletableFuture<>();
         submit(change).thenAccept(result::complete);
         timer.schedule(
-                () -> result.complete(new ClaimAnswer.Unavailable("the claim timed out")),
+                () -> result.complete(new ClaimResult.Unavailable("the claim timed out")),
                 timeout.toMillis(),
                 TimeUnit.MILLISECONDS);
         return result;
@@ -97,7 +97,7 @@
 
     /**
      * Marks a claim as done after its holder has run. If this write is lost the claim stays held,
-     * and a retry of the caller gets "unknown" instead of "already done".
+     * and a retry of the caller gets the outcome "unknown" instead of "already done".
      *
      * @param key the claim's key
      * @param holder the request
@@ -113,7 +113,7 @@
      * @param holder the request
      */
     public void release(final String key, final RequestId holder) {
-        settle(key, holder, Claim.State.RELEASED, RELEASE_TRIES);
+        settle(key, holder, Claim.State.RELEASED, MAX_RELEASE_TRIES);
     }
 
     /**
@@ -143,18 +143,18 @@
             final String key,
             final RequestId holder,
             final Claim.State state,
-            final int attemptsLeft) {
+            final int triesLeft) {
         final Claim claim = new Claim(holder, duties.self(), state, clock.millis());
         submit(new ClaimChange(key, claim))
                 .thenAccept(
                         result -> {
-                            if (!(result instanceof ClaimAnswer.Unavailable)) {
+                            if (!(result instanceof ClaimResult.Unavailable)) {
                                 return;
                             }
-                            if (attemptsLeft > 1) {
+                            if (triesLeft > 1) {
                                 timer.schedule(
-                                        () -> settle(key, holder, state, attemptsLeft - 1),
-                                        RELEASE_RETRY.toMillis(),
+                                        () -> settle(key, holder, state, triesLeft - 1),
+                                        RELEASE_RETRY_DELAY.toMillis(),
                                         TimeUnit.MILLISECONDS);
                             } else {
                                 EventLog.write(Event.CLAIM_RELEASE_FAILED, "request", holder);
@@ -162,7 +162,7 @@
                         });
     }
 
-    private CompletableFuture<ClaimAnswer> submit(final ClaimChange change) {
+    private CompletableFuture<ClaimResult> submit(final ClaimChange change) {
         final int slot =
                 (int) Long.remainderUnsigned(Rendezvous.weight("claim", change.key()), slots);
         final Optional<VmId> holder = duties.holder("claims/" + slot);
@@ -189,29 +189,29 @@
                                 .setAtMillis(change.claim().atMillis()));
     }
 
-    private static Envelope.Builder encode(final ClaimAnswer result, final Claim wanted) {
+    private static Envelope.Builder encode(final ClaimResult result, final Claim requested) {
         final ClaimReply.Builder reply = ClaimReply.newBuilder();
-        if (result instanceof ClaimAnswer.Made) {
-            reply.setResult(ClaimReply.Result.MADE).setHolder(wanted.holder().value());
-        } else if (result instanceof ClaimAnswer.Refused refused) {
+        if (result instanceof ClaimResult.Made) {
+            reply.setResult(ClaimReply.Result.MADE).setHolder(requested.holder().value());
+        } else if (result instanceof ClaimResult.Conflict conflict) {
             reply.setResult(ClaimReply.Result.REFUSED)
-                    .setHolder(refused.held().holder().value())
-                    .setState(refused.held().state().ordinal());
+                    .setHolder(conflict.current().holder().value())
+                    .setState(conflict.current().state().ordinal());
         }
         return Envelope.newBuilder().setClaimReply(reply);
     }
 
-    private static ClaimAnswer decode(final ClaimReply reply, final ClaimChange change) {
+    private static ClaimResult decode(final ClaimReply reply, final ClaimChange change) {
         return switch (reply.getResult()) {
-            case MADE -> new ClaimAnswer.Made();
+            case MADE -> new ClaimResult.Made();
             case REFUSED ->
-                    new ClaimAnswer.Refused(
+                    new ClaimResult.Conflict(
                             new Claim(
                                     RequestId.of(reply.getHolder()),
                                     change.claim().vm(),
                                     STATES[reply.getState()],
                                     change.claim().atMillis()));
-            default -> new ClaimAnswer.Unavailable("the keeper did not confirm the claim");
+            default -> new ClaimResult.Unavailable("the keeper did not confirm the claim");
         };
     }
 }
--- a/fennelstage-router/src/main/java/org/fennelstage/control/ConfigurationWatcher.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/control/ConfigurationWatcher.java
@@ -21,7 +21,7 @@
  * Watches the configuration in the store if this VM is one of the watchers of its data centre; all
  * other VMs receive changes from peers.
  *
- * <p>The number of calls grows with the data centres and not with the VMs. A VM that has started
+ * <p>The number of calls grows with the number of data centres, not of VMs. A VM that has started
  * and received no configuration from peers reads it from the store itself. Thread-safe: a single
  * chain of callbacks accesses all mutable state.
  */
@@ -73,10 +73,10 @@
     /**
      * Starts watching after peers have had time to send their configuration.
      *
-     * @param grace the delay before the first step
+     * @param initialDelay the delay before the first call of the store
      */
-    public void start(final Duration grace) {
-        schedule(grace);
+    public void start(final Duration initialDelay) {
+        schedule(initialDelay);
     }
 
     /** Stops watching at the next step. */
@@ -94,8 +94,8 @@
             schedule(CHECK_PERIOD);
             return;
         }
-        final Duration delay = since.equals(Revision.NONE) ? Duration.ZERO : LONG_POLL;
-        store.changes(Keys.CONFIGURATION, since, delay, CallPriority.NORMAL)
+        final Duration wait = since.equals(Revision.NONE) ? Duration.ZERO : LONG_POLL;
+        store.changes(Keys.CONFIGURATION, since, wait, CallPriority.NORMAL)
                 .thenAcceptAsync(this::onResult, timer);
     }
 
--- a/fennelstage-router/src/main/java/org/fennelstage/control/Duties.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/control/Duties.java
@@ -15,7 +15,8 @@
 import org.fennelstage.peer.generated.Envelope;
 
 /**
- * Determines which VM of the data centre has a duty, and sends messages to it.
+ * Determines which VM of the data centre has a duty (a task that one VM performs for all), and
+ * sends messages to it.
  *
  * <p>Two VMs may have the same duty for a while, until their membership views agree; every duty
  * must be safe under that. Thread-safe.
@@ -27,7 +28,7 @@
     private final PeerNetwork network;
 
     /**
-     * Creates the duties of this VM.
+     * Creates the view of duties of this VM.
      *
      * @param members the known VMs
      * @param group resolves addresses of VMs
--- a/fennelstage-router/src/main/java/org/fennelstage/control/LoadLedger.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/control/LoadLedger.java
@@ -21,7 +21,8 @@
 
 /**
  * Reserves slots of backend servers. One VM of the data centre, the keeper, counts the requests at
- * each backend server; this class queries the keepers and keeps the counts that are this VM's duty.
+ * each backend server; this class sends requests to the keepers and maintains the counts for which
+ * this VM is the keeper.
  *
  * <p>The shared counts let a VM take the requests of all other VMs into account. Thread-safe.
  */
@@ -95,7 +96,7 @@
      * @param server the backend server
      * @param own the number of requests
      */
-    public void changed(final BackendServerId server, final int own) {
+    public void reportLoad(final BackendServerId server, final int own) {
         report(Map.of(server, own));
     }
 
--- a/fennelstage-router/src/main/java/org/fennelstage/control/RolloutKeeper.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/control/RolloutKeeper.java
@@ -38,13 +38,13 @@
  */
 public final class RolloutKeeper {
 
-    /** Time within which all VMs report to a VM that takes over the duty. */
+    /** Time within which all VMs have reported to a VM that becomes the keeper. */
     private static final Duration TAKEOVER_PERIOD = Duration.ofSeconds(3);
 
     /** Time after which a granted exposure that was not reported counts as unused. */
     private static final Duration GRANT_EXPIRY = Duration.ofSeconds(5);
 
-    private static final int MIN_WANTED = 5;
+    private static final int MIN_RESERVATION = 5;
 
     private final Rollout rollout;
     private final DataCentreId dataCentre;
@@ -103,20 +103,21 @@
      *
      * @return the grant and the state of the rollout
      */
-    public synchronized Share requestExposure() {
-        final RolloutProgress judged = computeProgress();
+    public synchronized ExposureReply requestExposure() {
+        final RolloutProgress current = computeProgress();
         final boolean isTakeoverComplete =
                 clock.millis() - startedMillis >= TAKEOVER_PERIOD.toMillis();
         final boolean isGranted =
                 isTakeoverComplete
                         && isLoaded
-                        && judged.halted().isEmpty()
-                        && !judged.done()
-                        && used() < progress.granted(dataCentre);
+                        && current.halted().isEmpty()
+                        && !current.done()
+                        && usedExposures() < progress.granted(dataCentre);
         if (isGranted) {
             grantedAtMillis.add(clock.millis());
         }
-        return new Share(isGranted, judged.step(), judged.halted().isPresent(), judged.done());
+        return new ExposureReply(
+                isGranted, current.step(), current.halted().isPresent(), current.done());
     }
 
     /**
@@ -125,9 +126,9 @@
      * @return the progress
      */
     public synchronized RolloutProgress computeProgress() {
-        final RolloutProgress judged =
+        final RolloutProgress current =
                 progress.report(dataCentre, totalEvidence(), rollout, policy, ratedShare);
-        return externalHalt.map(judged::halt).orElse(judged);
+        return externalHalt.map(current::halt).orElse(current);
     }
 
     /**
@@ -167,7 +168,7 @@
                 .thenAccept(
                         result -> {
                             if (result instanceof ReadResult.Found found
-                                    && update(found.object())) {
+                                    && applyStored(found.object())) {
                                 write();
                             } else {
                                 clearBusy();
@@ -179,13 +180,13 @@
         final RolloutProgress next;
         final Revision expected;
         synchronized (this) {
-            final RolloutProgress judged = computeProgress();
-            final long remaining = judged.granted(dataCentre) - used();
-            final long wanted = Math.max(MIN_WANTED, 2L * recentlyGranted());
+            final RolloutProgress current = computeProgress();
+            final long remaining = current.granted(dataCentre) - usedExposures();
+            final long target = Math.max(MIN_RESERVATION, 2L * recentlyGranted());
             next =
-                    remaining >= wanted
-                            ? judged
-                            : judged.grant(dataCentre, wanted, policy, ratedShare);
+                    remaining >= target
+                            ? current
+                            : current.grant(dataCentre, target, policy, ratedShare);
             expected = revision;
             if (next.equals(progress)) {
                 busy = false;
@@ -196,9 +197,9 @@
                 .thenAccept(
                         result -> {
                             if (result instanceof WriteResult.Written written) {
-                                install(next, written.revision());
+                                setProgress(next, written.revision());
                             } else if (result instanceof WriteResult.Conflict conflict) {
-                                update(conflict.current());
+                                applyStored(conflict.current());
                             }
                             clearBusy();
                         });
@@ -208,11 +209,11 @@
         busy = false;
     }
 
-    private synchronized boolean update(final StoredObject object) {
+    private synchronized boolean applyStored(final StoredObject object) {
         if (!isLoaded || object.revision().isAfter(revision)) {
             try {
                 if (object.value().isPresent()) {
-                    install(
+                    setProgress(
                             Json.read(object.value().get(), RolloutProgress.class),
                             object.revision());
                 } else {
@@ -226,7 +227,7 @@
         return true;
     }
 
-    private synchronized void install(final RolloutProgress next, final Revision at) {
+    private synchronized void setProgress(final RolloutProgress next, final Revision at) {
         if (next.step() > progress.step()) {
             EventLog.write(Event.ROLLOUT_STEP, "rollout", rollout.id(), "step", next.step());
         }
@@ -239,7 +240,7 @@
         return evidenceBySource.values().stream().reduce(Evidence.none(), Evidence::plus);
     }
 
-    private long used() {
+    private long usedExposures() {
         final long stored =
                 Optional.ofNullable(progress.evidence().get(dataCentre))
                         .map(Evidence::exposed)
--- a/fennelstage-router/src/main/java/org/fennelstage/control/Rollouts.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/control/Rollouts.java
@@ -34,15 +34,15 @@
 import org.fennelstage.rollout.Signal;
 
 /**
- * This VM's part in rollouts: requests each exposure from the keeper of its data centre, reports
- * evidence to it, and is the keeper where that is its duty.
+ * Performs rollouts on this VM: requests each exposure from the keeper of its data centre, reports
+ * evidence to it, and runs the keeper of each rollout that is this VM's duty.
  *
  * <p>Invariants: a new version gets a request only for a granted exposure; a halt is never undone.
  * Thread-safe; one monitor guards all mutable state.
  */
 public final class Rollouts implements VersionChooser.Progress {
 
-    private static final Duration SHARE_TIMEOUT = Duration.ofMillis(100);
+    private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(100);
     private static final Duration PERIOD = Duration.ofSeconds(1);
 
     private final Supplier<Configuration> configuration;
@@ -63,7 +63,7 @@
     private record SentReport(Evidence evidence, VmId to) {}
 
     /**
-     * The collaborators of the rollouts.
+     * The components that the rollouts use.
      *
      * @param configuration returns the current configuration
      * @param duties determines the keepers and sends messages to them
@@ -71,7 +71,7 @@
      * @param halts the halted rollouts
      * @param store the store
      */
-    public record Surroundings(
+    public record Dependencies(
             Supplier<Configuration> configuration,
             Duties duties,
             PeerGroup group,
@@ -81,30 +81,30 @@
     /**
      * Creates the rollouts of this VM.
      *
-     * @param surroundings the collaborators
+     * @param dependencies the components to use
      * @param timer schedules reports
      * @param clock the clock
      * @param policy limits the exposures of a new version
      * @param ratedShare the share of answers that are rated, in (0, 1]
      */
     public Rollouts(
-            final Surroundings surroundings,
+            final Dependencies dependencies,
             final ScheduledExecutorService timer,
             final InstantSource clock,
             final ExposurePolicy policy,
             final double ratedShare) {
-        this.configuration = surroundings.configuration();
-        this.duties = surroundings.duties();
-        this.group = surroundings.group();
-        this.halts = surroundings.halts();
-        this.store = surroundings.store();
+        this.configuration = dependencies.configuration();
+        this.duties = dependencies.duties();
+        this.group = dependencies.group();
+        this.halts = dependencies.halts();
+        this.store = dependencies.store();
         this.timer = Objects.requireNonNull(timer, "timer is null");
         this.clock = Objects.requireNonNull(clock, "clock is null");
         this.policy = Objects.requireNonNull(policy, "policy is null");
         this.ratedShare = ratedShare;
     }
 
-    /** Starts periodic reports and the duties of a keeper. */
+    /** Starts periodic reports of evidence and the work of this VM as a keeper. */
     public void start() {
         final long period = PERIOD.toMillis();
         timer.scheduleWithFixedDelay(this::tick, period, period, TimeUnit.MILLISECONDS);
@@ -128,7 +128,7 @@
      * @param rollout the rollout
      * @return the share, in (0, 1]
      */
-    public double share(final Rollout rollout) {
+    public double newVersionShare(final Rollout rollout) {
         final int step;
         synchronized (this) {
             step = steps.getOrDefault(rollout.id(), 0);
@@ -140,28 +140,31 @@
      * Requests one exposure.
      *
      * @param rollout the rollout
-     * @return the reply; {@link Share#NONE} if the keeper does not reply in time
+     * @return the reply; {@link ExposureReply#NONE} if the keeper does not reply in time
      */
-    public CompletableFuture<Share> request(final Rollout rollout) {
+    public CompletableFuture<ExposureReply> requestExposure(final Rollout rollout) {
         final Optional<VmId> holder = duties.holder(duty(rollout.id()));
         if (holder.isEmpty()) {
-            return CompletableFuture.completedFuture(Share.NONE);
+            return CompletableFuture.completedFuture(ExposureReply.NONE);
         }
         if (holder.get().equals(duties.self())) {
-            final Share share = keeper(rollout).requestExposure();
-            recordShare(rollout, share);
-            return CompletableFuture.completedFuture(share);
+            final ExposureReply exposure = keeper(rollout).requestExposure();
+            recordReply(rollout, exposure);
+            return CompletableFuture.completedFuture(exposure);
         }
         final Envelope.Builder body =
                 Envelope.newBuilder()
                         .setShareRequest(
                                 ShareRequest.newBuilder().setRollout(rollout.id().value()));
-        return duties.request(holder.get(), body, SHARE_TIMEOUT)
-                .thenApply(reply -> reply.map(e -> decode(e.getShareReply())).orElse(Share.NONE))
+        return duties.request(holder.get(), body, REQUEST_TIMEOUT)
                 .thenApply(
-                        share -> {
-                            recordShare(rollout, share);
-                            return share;
+                        reply ->
+                                reply.map(e -> decode(e.getShareReply()))
+                                        .orElse(ExposureReply.NONE))
+                .thenApply(
+                        exposure -> {
+                            recordReply(rollout, exposure);
+                            return exposure;
                         });
     }
 
@@ -170,18 +173,18 @@
      *
      * @param rollout the rollout
      */
-    public void exposed(final RolloutId rollout) {
+    public void recordExposure(final RolloutId rollout) {
         updateEvidence(rollout, Evidence::plusExposed);
     }
 
     /**
-     * Records one judgement of an answer of the new version.
+     * Records whether one response of the new version was bad in one respect.
      *
      * @param rollout the rollout
-     * @param signal the judged property
-     * @param isBad whether it was bad
+     * @param signal the property that was checked
+     * @param isBad true if it was bad
      */
-    public void judged(final RolloutId rollout, final Signal signal, final boolean isBad) {
+    public void recordSignal(final RolloutId rollout, final Signal signal, final boolean isBad) {
         updateEvidence(rollout, e -> e.plus(signal, isBad));
     }
 
@@ -195,11 +198,11 @@
     public boolean handle(final Envelope message, final Consumer<Envelope.Builder> reply) {
         switch (message.getBodyCase()) {
             case SHARE_REQUEST -> {
-                final Share share =
+                final ExposureReply exposure =
                         find(message.getShareRequest().getRollout())
                                 .map(r -> keeper(r).requestExposure())
-                                .orElse(Share.NONE);
-                reply.accept(encode(share));
+                                .orElse(ExposureReply.NONE);
+                reply.accept(encode(exposure));
             }
             case EVIDENCE_REPORT -> onReport(message.getSender(), message.getEvidenceReport());
             default -> {
@@ -216,7 +219,7 @@
             }
             reportOwn(rollout);
             if (duties.isMine(duty(rollout.id()))) {
-                keep(rollout);
+                runKeeper(rollout);
             } else {
                 synchronized (this) {
                     keepers.remove(rollout.id());
@@ -225,7 +228,7 @@
         }
     }
 
-    private void keep(final Rollout rollout) {
+    private void runKeeper(final Rollout rollout) {
         final RolloutKeeper keeper = keeper(rollout);
         keeper.detectDrift();
         final RolloutProgress progress = keeper.computeProgress();
@@ -234,7 +237,7 @@
             halt(rollout, progress.halted().get());
         }
         if (progress.done()) {
-            recordShare(rollout, new Share(false, progress.step(), false, true));
+            recordReply(rollout, new ExposureReply(false, progress.step(), false, true));
         }
         keeper.synchronizeProgress();
     }
@@ -309,11 +312,11 @@
                                 rollout, duties.dataCentre(), store, clock, policy, ratedShare));
     }
 
-    private void recordShare(final Rollout rollout, final Share share) {
+    private void recordReply(final Rollout rollout, final ExposureReply reply) {
         final boolean isNewlyDone;
         synchronized (this) {
-            steps.merge(rollout.id(), share.step(), Math::max);
-            isNewlyDone = share.done() && done.add(rollout.id());
+            steps.merge(rollout.id(), reply.step(), Math::max);
+            isNewlyDone = reply.done() && done.add(rollout.id());
         }
         if (isNewlyDone) {
             EventLog.write(Event.ROLLOUT_DONE, "rollout", rollout.id());
@@ -323,7 +326,7 @@
     private synchronized void updateEvidence(
             final RolloutId rollout, final UnaryOperator<Evidence> operator) {
         ownEvidence.merge(
-                rollout, operator.apply(Evidence.none()), (held, first) -> operator.apply(held));
+                rollout, operator.apply(Evidence.none()), (known, first) -> operator.apply(known));
     }
 
     private static String duty(final RolloutId id) {
@@ -334,17 +337,18 @@
         return vm + "/" + incarnation;
     }
 
-    private static Envelope.Builder encode(final Share share) {
+    private static Envelope.Builder encode(final ExposureReply reply) {
         return Envelope.newBuilder()
                 .setShareReply(
                         ShareReply.newBuilder()
-                                .setGranted(share.granted())
-                                .setStep(share.step())
-                                .setHalted(share.halted())
-                                .setDone(share.done()));
+                                .setGranted(reply.granted())
+                                .setStep(reply.step())
+                                .setHalted(reply.halted())
+                                .setDone(reply.done()));
     }
 
-    private static Share decode(final ShareReply reply) {
-        return new Share(reply.getGranted(), reply.getStep(), reply.getHalted(), reply.getDone());
+    private static ExposureReply decode(final ShareReply reply) {
+        return new ExposureReply(
+                reply.getGranted(), reply.getStep(), reply.getHalted(), reply.getDone());
     }
 }
--- a/fennelstage-router/src/main/java/org/fennelstage/control/StatusReporter.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/control/StatusReporter.java
@@ -30,8 +30,8 @@
  * reporter of its data centre after a change, and the reporter writes one object at most once a
  * second.
  *
- * <p>The number of writes grows with changes and data centres, not with VMs. Thread-safe; one
- * monitor guards all mutable state.
+ * <p>The number of writes grows with the number of changes and data centres, not of VMs.
+ * Thread-safe; one monitor guards all mutable state.
  */
 public final class StatusReporter {
 
@@ -91,7 +91,7 @@
     /**
      * Sends the status to the reporter without waiting for the next period; called after a change.
      */
-    public void changed() {
+    public void reportNow() {
         timer.execute(this::sendStatus);
     }
 
--- a/fennelstage-router/src/main/java/org/fennelstage/main/RouterVm.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/main/RouterVm.java
@@ -172,8 +172,7 @@
                         new Changes());
         this.duties = new Duties(members, peers, network);
         this.claimKeeper =
-                new ClaimKeeper(
-                        store, control, clock, random.split(), settings.claims().patience());
+                new ClaimKeeper(store, control, clock, random.split(), settings.claims().timeout());
         this.claims =
                 new Claims(
                         duties,
@@ -181,11 +180,11 @@
                         control,
                         clock,
                         settings.claims().slots(),
-                        settings.claims().patience());
+                        settings.claims().timeout());
         this.bills = new Bills(duties, store, control, clock);
         this.rollouts =
                 new Rollouts(
-                        new Rollouts.Surroundings(() -> configuration, duties, peers, halts, store),
+                        new Rollouts.Dependencies(() -> configuration, duties, peers, halts, store),
                         control,
                         clock,
                         environment.policy(),
@@ -452,7 +451,7 @@
             if (!wasReady && isReady()) {
                 EventLog.write(Event.READY, "vm", settings.vm().id());
             }
-            status.changed();
+            status.reportNow();
         }
 
         @Override
--- a/fennelstage-router/src/main/java/org/fennelstage/route/CallerApi.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/CallerApi.java
@@ -33,27 +33,27 @@
     private static final String SERVICES_PATH = "/services/";
     private static final String BEARER = "Bearer ";
 
-    private final Services services;
+    private final RouterComponents components;
     private final Function<EventLoop, EventLoopContext> loopContexts;
     private final Supplier<Boolean> draining;
 
     CallerApi(
-            final Services services,
+            final RouterComponents components,
             final Function<EventLoop, EventLoopContext> loopContexts,
             final Supplier<Boolean> draining) {
-        this.services = services;
+        this.components = components;
         this.loopContexts = loopContexts;
         this.draining = draining;
     }
 
     @Override
     public void handle(final ServerExchange exchange) {
-        final RequestId id = services.ids().next();
+        final RequestId id = components.ids().next();
         try {
             if (draining.get()) {
                 throw reject(Reason.SHUTTING_DOWN, "this VM is shutting down; retry immediately");
             }
-            final Configuration configuration = services.configuration().get();
+            final Configuration configuration = components.configuration().get();
             final Team team = authenticate(configuration, exchange);
             route(configuration, team, exchange, id);
         } catch (final RejectedException e) {
@@ -106,7 +106,7 @@
         final Optional<Session> session = session(configuration, request);
         admit(team);
         final EventLoopContext loop = loopContexts.apply(exchange.eventLoop());
-        new ChatExecution(services, loop, exchange, team, profile, request, session, id).start();
+        new ChatExecution(components, loop, exchange, team, profile, request, session, id).start();
     }
 
     private void service(
@@ -123,7 +123,7 @@
         final Optional<String> key = ChatRequest.key(exchange);
         admit(team);
         final EventLoopContext loop = loopContexts.apply(exchange.eventLoop());
-        new ServiceExecution(services, loop, exchange, team, service, target, key, id).start();
+        new ServiceExecution(components, loop, exchange, team, service, target, key, id).start();
     }
 
     private static ServiceName serviceName(final Configuration configuration, final String name)
@@ -205,7 +205,7 @@
     }
 
     private void admit(final Team team) throws RejectedException {
-        final Optional<Outcome.NotRun> rejection = services.admission().begin(team);
+        final Optional<Outcome.NotRun> rejection = components.admission().begin(team);
         if (rejection.isPresent()) {
             throw new RejectedException(rejection.get());
         }
--- a/fennelstage-router/src/main/java/org/fennelstage/route/Cascades.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/Cascades.java
@@ -55,18 +55,18 @@
             final boolean mayRunTwice,
             final Duration timeLeft,
             final RequestId id) {
-        final Optional<ModelVersion> cheap =
+        final Optional<ModelVersion> small =
                 currentVersion(configuration, team, profile.cheapest());
-        final Optional<ModelVersion> best = currentVersion(configuration, team, profile.best());
-        if (cheap.isEmpty() || best.isEmpty() || profile.models().size() == 1) {
+        final Optional<ModelVersion> large = currentVersion(configuration, team, profile.best());
+        if (small.isEmpty() || large.isEmpty() || profile.models().size() == 1) {
             return new Stage(
-                    best.isPresent() ? profile.best() : profile.cheapest(), Optional.empty());
+                    large.isPresent() ? profile.best() : profile.cheapest(), Optional.empty());
         }
         final CascadePolicy.Plan plan =
                 policy.plan(
                         profile,
-                        option(profile, cheap.get()),
-                        option(profile, best.get()),
+                        option(profile, small.get()),
+                        option(profile, large.get()),
                         timeLeft.toMillis() / 1000.0,
                         RatingClient.sampleFraction("cascade/" + id));
         return switch (plan) {
@@ -74,17 +74,17 @@
             case BEST -> new Stage(profile.best(), Optional.empty());
             case CASCADE ->
                     mayRunTwice
-                            ? new Stage(profile.cheapest(), best)
+                            ? new Stage(profile.cheapest(), large)
                             : new Stage(profile.best(), Optional.empty());
         };
     }
 
     boolean accepts(
             final Profile profile,
-            final VersionId cheap,
-            final VersionId best,
+            final VersionId small,
+            final VersionId large,
             final double confidence) {
-        return policy.accepts(profile, cheap, best, confidence);
+        return policy.accepts(profile, small, large, confidence);
     }
 
     void recordAnswer(
--- a/fennelstage-router/src/main/java/org/fennelstage/route/ChatExecution.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/ChatExecution.java
@@ -9,9 +9,9 @@
 import org.fennelstage.backend.BackendServer;
 import org.fennelstage.bill.Bill;
 import org.fennelstage.configuration.Configuration;
-import org.fennelstage.control.ClaimAnswer;
+import org.fennelstage.control.ClaimResult;
 import org.fennelstage.control.Claims;
-import org.fennelstage.control.Share;
+import org.fennelstage.control.ExposureReply;
 import org.fennelstage.http.CallFailure;
 import org.fennelstage.http.ServerExchange;
 import org.fennelstage.id.ModelId;
@@ -45,7 +45,7 @@
     private static final int STATUS_UNAVAILABLE = 503;
     private static final double NANOS_PER_SECOND = 1e9;
 
-    private final Services services;
+    private final RouterComponents components;
     private final EventLoopContext loopContext;
     private final ServerExchange exchange;
     private final Team team;
@@ -65,11 +65,10 @@
     private double discardedCost;
     private long attemptStartNanos = startNanos;
     private boolean claimed;
-
     private boolean ended;
 
     ChatExecution(
-            final Services services,
+            final RouterComponents components,
             final EventLoopContext loopContext,
             final ServerExchange exchange,
             final Team team,
@@ -77,7 +76,7 @@
             final ChatRequest request,
             final Optional<Session> session,
             final RequestId id) {
-        this.services = services;
+        this.components = components;
         this.loopContext = loopContext;
         this.exchange = exchange;
         this.team = team;
@@ -85,10 +84,12 @@
         this.request = request;
         this.session = session;
         this.id = id;
-        this.configuration = services.configuration().get();
+        this.configuration = components.configuration().get();
         this.attempts =
                 new Attempts(
-                        services.serverStates(), loopContext.client(), services.ledger()::changed);
+                        components.serverStates(),
+                        loopContext.client(),
+                        components.ledger()::reportLoad);
         this.deadline =
                 request.deadline()
                         .filter(d -> d.compareTo(profile.deadline()) < 0)
@@ -98,7 +99,7 @@
 
     /** Starts the execution of a request that has been admitted. */
     void start() {
-        services.metrics().begin();
+        components.metrics().begin();
         deadlineTimer =
                 exchange.eventLoop()
                         .schedule(this::onDeadline, deadline.toMillis(), TimeUnit.MILLISECONDS);
@@ -112,14 +113,17 @@
 
     private void chooseVersion() {
         final VersionChooser.Choice choice =
-                session.map(s -> VersionChooser.choose(configuration, team, s, services.rollouts()))
+                session.map(
+                                s ->
+                                        VersionChooser.choose(
+                                                configuration, team, s, components.rollouts()))
                         .orElseGet(
                                 () ->
                                         VersionChooser.choose(
                                                 configuration,
                                                 team,
                                                 chooseModel(),
-                                                services.rollouts()));
+                                                components.rollouts()));
         if (choice instanceof VersionChooser.Choice.Rejected rejected) {
             end(rejected.outcome());
         } else if (choice instanceof VersionChooser.Choice.Chosen chosen) {
@@ -128,7 +132,7 @@
             final Optional<Rollout> sampledRollout =
                     chosen.runningRollout().filter(r -> fallback.isEmpty()).filter(this::isSampled);
             if (sampledRollout.isPresent()) {
-                requestShare(sampledRollout.get());
+                requestExposure(sampledRollout.get());
             } else {
                 claim();
             }
@@ -140,7 +144,9 @@
         // may use a cascade of two models.
         final boolean mayRunTwice = profile.idempotent() && request.session().isEmpty();
         final Cascades.Stage stage =
-                services.cascades().choose(configuration, team, profile, mayRunTwice, deadline, id);
+                components
+                        .cascades()
+                        .choose(configuration, team, profile, mayRunTwice, deadline, id);
         fallback = stage.fallback();
         if (fallback.isPresent()) {
             response.startBuffering();
@@ -150,21 +156,22 @@
 
     private boolean isSampled(final Rollout rollout) {
         final String key = rollout.id() + "/" + id;
-        return RatingClient.sampleFraction(key) < services.rollouts().share(rollout);
+        return RatingClient.sampleFraction(key) < components.rollouts().newVersionShare(rollout);
     }
 
-    private void requestShare(final Rollout rollout) {
-        services.rollouts()
-                .request(rollout)
-                .thenAccept(share -> onLoop(() -> onShare(rollout, share)));
+    private void requestExposure(final Rollout rollout) {
+        components
+                .rollouts()
+                .requestExposure(rollout)
+                .thenAccept(reply -> runUnlessEnded(() -> onExposureReply(rollout, reply)));
     }
 
-    private void onShare(final Rollout rollout, final Share share) {
-        final Optional<ModelVersion> candidate = configuration.version(rollout.candidate());
-        if (share.granted() && candidate.isPresent()) {
-            version = candidate.get();
+    private void onExposureReply(final Rollout rollout, final ExposureReply reply) {
+        final Optional<ModelVersion> newVersion = configuration.version(rollout.candidate());
+        if (reply.granted() && newVersion.isPresent()) {
+            version = newVersion.get();
             activeRollout = Optional.of(rollout);
-            services.rollouts().exposed(rollout.id());
+            components.rollouts().recordExposure(rollout.id());
         }
         claim();
     }
@@ -174,14 +181,15 @@
             dispatch();
             return;
         }
-        services.claims()
+        components
+                .claims()
                 .take(claimKey(), id)
                 .thenAccept(result -> EventLoops.run(exchange.eventLoop(), () -> onClaim(result)));
     }
 
-    private void onClaim(final ClaimAnswer result) {
-        if (result instanceof ClaimAnswer.Refused duplicate) {
-            end(DuplicateRequests.outcome(duplicate.held()));
+    private void onClaim(final ClaimResult result) {
+        if (result instanceof ClaimResult.Conflict duplicate) {
+            end(DuplicateRequests.outcome(duplicate.current()));
             return;
         }
         claimed = true;
@@ -190,7 +198,7 @@
             // was sent, so the claim is released; otherwise it would block the caller's next
             // request.
             releaseClaim();
-        } else if (result instanceof ClaimAnswer.Unavailable unavailable) {
+        } else if (result instanceof ClaimResult.Unavailable unavailable) {
             EventLog.write(Event.CLAIM_UNAVAILABLE, "request", id, "detail", unavailable.detail());
             end(
                     Outcome.notRun(
@@ -207,16 +215,16 @@
             return;
         }
         if (attempts.isFirst()) {
-            services.retries().onFirstAttempt();
+            components.retries().onFirstAttempt();
         }
-        // The configuration may have changed while the share or the claim was pending; a version
+        // The configuration may have changed while the exposure or the claim was pending; a version
         // that was withdrawn in the meantime must not get this request.
-        final Configuration latest = services.configuration().get();
-        final boolean usable =
+        final Configuration latest = components.configuration().get();
+        final boolean isUsable =
                 latest.version(version.id())
                         .filter(v -> session.isPresent() ? v.acceptsSession() : v.acceptsNew())
                         .isPresent();
-        if (!usable) {
+        if (!isUsable) {
             end(notRunOrUnknown("version " + version.id() + " was withdrawn"));
             return;
         }
@@ -228,8 +236,8 @@
                                 attempts.tried(),
                                 loopContext.random());
         new Placement(
-                        services.ledger(),
-                        services.serverStates(),
+                        components.ledger(),
+                        components.serverStates(),
                         exchange.eventLoop(),
                         candidates,
                         this::onPlaced)
@@ -245,7 +253,7 @@
             endWithoutServer();
             return;
         }
-        services.metrics().sent(version.id());
+        components.metrics().sent(version.id());
         response.onServerChosen(version.id(), server.get().id(), explanation(), team.explain());
         attemptStartNanos = System.nanoTime();
         attempts.sendTo(
@@ -257,8 +265,8 @@
 
     private void releaseSlot(final BackendServer server) {
         final int inFlightLeft =
-                services.serverStates().state(server.id()).inFlight().decrementAndGet();
-        services.ledger().changed(server.id(), inFlightLeft);
+                components.serverStates().state(server.id()).inFlight().decrementAndGet();
+        components.ledger().reportLoad(server.id(), inFlightLeft);
     }
 
     private void endWithoutServer() {
@@ -356,11 +364,11 @@
     }
 
     private boolean retry(final String detail) {
-        if (ended || !attempts.mayRetry() || !services.retries().tryRetry()) {
+        if (ended || !attempts.mayRetry() || !components.retries().tryRetry()) {
             return false;
         }
         EventLog.write(Event.REQUEST_RETRIED, "request", id, "detail", detail);
-        services.metrics().retried();
+        components.metrics().retried();
         if (fallback.isPresent()) {
             useFallback();
         } else if (activeRollout.isPresent()) {
@@ -377,7 +385,7 @@
     }
 
     private void recordSignal(final Signal signal, final boolean isBad) {
-        activeRollout.ifPresent(r -> services.rollouts().judged(r.id(), signal, isBad));
+        activeRollout.ifPresent(r -> components.rollouts().recordSignal(r.id(), signal, isBad));
     }
 
     void onResponseComplete() {
@@ -386,12 +394,14 @@
         recordSignal(Signal.ERROR, false);
         recordSignal(Signal.TRUNCATION, response.isTruncated());
         final double responseSeconds = (System.nanoTime() - attemptStartNanos) / NANOS_PER_SECOND;
-        services.cascades()
+        components
+                .cascades()
                 .recordAnswer(profile, version.id(), response.confidence(), responseSeconds);
-        rate();
+        requestRating();
         if (fallback.isPresent()) {
             final boolean isGoodEnough =
-                    services.cascades()
+                    components
+                            .cascades()
                             .accepts(
                                     profile,
                                     version.id(),
@@ -407,7 +417,7 @@
             response.releaseBuffered();
         }
         if (!profile.idempotent()) {
-            services.claims().done(claimKey(), id);
+            components.claims().done(claimKey(), id);
         }
         final Bill bill =
                 new Bill(
@@ -417,8 +427,8 @@
                         version.id(),
                         response.tokens(),
                         discardedCost + cost(),
-                        services.clock().millis());
-        services.bills().record(bill).thenAccept(done -> onLoop(this::finishResponse));
+                        components.clock().millis());
+        components.bills().record(bill).thenAccept(done -> runUnlessEnded(this::finishResponse));
     }
 
     /** Handles one chunk of the response. */
@@ -445,7 +455,7 @@
     }
 
     private void onFirstToken() {
-        services.metrics().firstToken(profile.id(), elapsedSeconds());
+        components.metrics().firstToken(profile.id(), elapsedSeconds());
         recordSignal(Signal.LATE, elapsedSeconds() * 1000 > profile.firstToken().toMillis());
     }
 
@@ -460,22 +470,25 @@
         response.discardBuffered();
     }
 
-    private void rate() {
+    private void requestRating() {
         final Optional<Rollout> rollout = activeRollout;
         final VersionId ratedVersion = version.id();
         final double confidence = response.confidence();
-        services.ratings()
+        components
+                .ratings()
                 .rate(
                         loopContext.client(),
                         id.value(),
                         response.text(),
                         rating -> {
-                            services.cascades()
+                            components
+                                    .cascades()
                                     .recordRating(profile, ratedVersion, confidence, rating);
                             rollout.ifPresent(
                                     r ->
-                                            services.rollouts()
-                                                    .judged(
+                                            components
+                                                    .rollouts()
+                                                    .recordSignal(
                                                             r.id(),
                                                             Signal.POOR_RATING,
                                                             profile.isPoor(rating)));
@@ -488,8 +501,8 @@
         }
         ended = true;
         deadlineTimer.cancel(false);
-        services.admission().end(team);
-        services.metrics().end(profile.id(), team.id(), outcome, elapsedSeconds());
+        components.admission().end(team);
+        components.metrics().end(profile.id(), team.id(), outcome, elapsedSeconds());
         if (outcome instanceof Outcome.NotRun && claimed) {
             releaseClaim();
         }
@@ -512,14 +525,14 @@
     }
 
     private void releaseClaim() {
-        services.claims().release(claimKey(), id);
+        components.claims().release(claimKey(), id);
     }
 
     private double elapsedSeconds() {
         return (System.nanoTime() - startNanos) / NANOS_PER_SECOND;
     }
 
-    private void onLoop(final Runnable action) {
+    private void runUnlessEnded(final Runnable action) {
         EventLoops.run(
                 exchange.eventLoop(),
                 () -> {
--- a/fennelstage-router/src/main/java/org/fennelstage/route/Router.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/Router.java
@@ -29,7 +29,7 @@
     private static final double RETRY_SHARE = 0.1;
     private static final double RETRY_RESERVE = 10;
 
-    private final Services services;
+    private final RouterComponents components;
     private final DataCentreId dataCentre;
     private final CallerApi api;
     private final LoadLedger ledger;
@@ -79,8 +79,8 @@
         final ServerStateTable serverStates = new ServerStateTable(dependencies.clock());
         this.ledger =
                 new LoadLedger(dependencies.duties(), serverStates::loads, dependencies.timer());
-        this.services =
-                new Services(
+        this.components =
+                new RouterComponents(
                         dependencies.configuration(),
                         dependencies.clock(),
                         dependencies.ids(),
@@ -94,7 +94,7 @@
                         new RatingClient(rating, ratedShare),
                         RetryBudget.of(RETRY_SHARE, RETRY_RESERVE),
                         dependencies.metrics());
-        this.api = new CallerApi(services, this::loop, () -> draining);
+        this.api = new CallerApi(components, this::loop, () -> draining);
     }
 
     @Override
@@ -122,7 +122,7 @@
      * @return the count
      */
     public int inFlight() {
-        return services.admission().inFlight();
+        return components.admission().inFlight();
     }
 
     private EventLoopContext loop(final EventLoop eventLoop) {
@@ -132,7 +132,7 @@
                         new EventLoopContext(
                                 new HttpClient(e),
                                 dataCentre,
-                                services.serverStates(),
+                                components.serverStates(),
                                 System.identityHashCode(e)));
     }
 }
--- a/fennelstage-router/src/main/java/org/fennelstage/route/Services.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/RouterComponents.java
@@ -27,7 +27,7 @@
  * @param retries the retry budget
  * @param metrics the metrics of this VM
  */
-record Services(
+record RouterComponents(
         Supplier<Configuration> configuration,
         InstantSource clock,
         RequestIds ids,
--- a/fennelstage-router/src/main/java/org/fennelstage/route/ServerPool.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/ServerPool.java
@@ -18,7 +18,6 @@
 final class ServerPool {
 
     private static final int AFFINITY_CANDIDATES = 4;
-
     private static final int RANDOM_CANDIDATES = 4;
 
     private final Tier local;
@@ -80,10 +79,10 @@
             final Set<BackendServerId> tried,
             final RandomGenerator random) {
         updateLoads(tier, tried);
-        final int[] best = new int[Math.min(AFFINITY_CANDIDATES, tier.servers().size())];
-        ServerSelector.firstByAffinity(tier.loads(), prefixHash, best);
+        final int[] byAffinity = new int[Math.min(AFFINITY_CANDIDATES, tier.servers().size())];
+        ServerSelector.firstByAffinity(tier.loads(), prefixHash, byAffinity);
         final Set<BackendServer> found = new LinkedHashSet<>();
-        for (final int index : best) {
+        for (final int index : byAffinity) {
             if (index != ServerSelector.NONE) {
                 found.add(tier.servers().get(index));
             }
--- a/fennelstage-router/src/main/java/org/fennelstage/route/ServiceExecution.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/ServiceExecution.java
@@ -15,7 +15,7 @@
 import java.util.Set;
 import org.fennelstage.backend.BackendServer;
 import org.fennelstage.configuration.Configuration;
-import org.fennelstage.control.ClaimAnswer;
+import org.fennelstage.control.ClaimResult;
 import org.fennelstage.control.Claims;
 import org.fennelstage.http.CallFailure;
 import org.fennelstage.http.ResponseListener;
@@ -42,7 +42,7 @@
     private static final Duration INACTIVITY_TIMEOUT = Duration.ofSeconds(30);
     private static final Duration RETRY_AFTER = Duration.ofSeconds(2);
 
-    private final Services services;
+    private final RouterComponents components;
     private final EventLoopContext loopContext;
     private final ServerExchange exchange;
     private final Team team;
@@ -57,7 +57,7 @@
     private boolean ended;
 
     ServiceExecution(
-            final Services services,
+            final RouterComponents components,
             final EventLoopContext loopContext,
             final ServerExchange exchange,
             final Team team,
@@ -65,7 +65,7 @@
             final String target,
             final Optional<String> key,
             final RequestId id) {
-        this.services = services;
+        this.components = components;
         this.loopContext = loopContext;
         this.exchange = exchange;
         this.team = team;
@@ -75,7 +75,7 @@
         this.id = id;
         this.attempts =
                 new Attempts(
-                        services.serverStates(), loopContext.client(), (server, inFlight) -> {});
+                        components.serverStates(), loopContext.client(), (server, inFlight) -> {});
         this.idempotent = IDEMPOTENT_METHODS.contains(exchange.method());
     }
 
@@ -89,20 +89,21 @@
             dispatch();
             return;
         }
-        services.claims()
+        components
+                .claims()
                 .take(claimKey(), id)
                 .thenAccept(result -> EventLoops.run(exchange.eventLoop(), () -> onClaim(result)));
     }
 
-    private void onClaim(final ClaimAnswer result) {
-        if (result instanceof ClaimAnswer.Refused duplicate) {
-            end(DuplicateRequests.outcome(duplicate.held()));
+    private void onClaim(final ClaimResult result) {
+        if (result instanceof ClaimResult.Conflict duplicate) {
+            end(DuplicateRequests.outcome(duplicate.current()));
             return;
         }
         claimed = true;
         if (ended) {
-            services.claims().release(claimKey(), id);
-        } else if (result instanceof ClaimAnswer.Unavailable unavailable) {
+            components.claims().release(claimKey(), id);
+        } else if (result instanceof ClaimResult.Unavailable unavailable) {
             end(Outcome.notRun(Reason.CLAIM_UNAVAILABLE, unavailable.detail(), RETRY_AFTER));
         } else {
             dispatch();
@@ -110,7 +111,7 @@
     }
 
     private void dispatch() {
-        final Configuration latest = services.configuration().get();
+        final Configuration latest = components.configuration().get();
         final Optional<BackendServer> server =
                 attempts.send(
                         loopContext.pool(latest, service),
@@ -151,8 +152,8 @@
         attempts.onFailure(failure);
         final boolean notSent = failure.phase() == CallFailure.Phase.NOT_SENT;
         final boolean retryable = notSent || (idempotent && !started);
-        if (retryable && attempts.mayRetry() && services.retries().tryRetry()) {
-            services.metrics().retried();
+        if (retryable && attempts.mayRetry() && components.retries().tryRetry()) {
+            components.metrics().retried();
             dispatch();
         } else if (notSent) {
             end(notRunOrUnknown(failure.detail()));
@@ -171,11 +172,11 @@
             return;
         }
         ended = true;
-        services.admission().end(team);
+        components.admission().end(team);
         if (claimed && outcome instanceof Outcome.NotRun) {
-            services.claims().release(claimKey(), id);
+            components.claims().release(claimKey(), id);
         } else if (claimed && outcome instanceof Outcome.Complete) {
-            services.claims().done(claimKey(), id);
+            components.claims().done(claimKey(), id);
         }
         if (outcome instanceof Outcome.Complete) {
             exchange.end();
--- a/fennelstage-router/src/main/java/org/fennelstage/settings/Settings.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/settings/Settings.java
@@ -77,7 +77,7 @@
      *
      * @param maxHeaderBytes the largest header block, in bytes
      * @param maxBodyBytes the largest request body, in bytes
-     * @param idle the timeout of inactivity of a connection
+     * @param idle the time after which an inactive connection is closed
      */
     public record Limits(int maxHeaderBytes, int maxBodyBytes, Duration idle) {}
 
@@ -85,9 +85,9 @@
      * Settings of claims.
      *
      * @param slots the number of claim logs; must be the same on all VMs and must never change
-     * @param patience the longest wait for a claim before the request is rejected
+     * @param timeout the longest wait for a claim before the request is rejected
      */
-    public record Claims(int slots, Duration patience) {}
+    public record Claims(int slots, Duration timeout) {}
 
     /**
      * Settings of the rating of answers.
--- a/fennelstage-router/src/main/java/org/fennelstage/settings/SettingsFile.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/settings/SettingsFile.java
@@ -117,7 +117,7 @@
         final Optional<Path> key = path(side + "_key");
         final Optional<Path> authority = path(side + "_authority");
         if (certificate.isPresent() != key.isPresent()) {
-            ini.mistake(TLS, side + "_certificate and " + side + "_key go together");
+            ini.mistake(TLS, side + "_certificate and " + side + "_key must be set together");
             return Optional.empty();
         }
         return certificate.map(c -> new Settings.KeyFiles(c, key.get(), authority));
