--- a/fennelstage-router/src/main/java/org/fennelstage/main/Main.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/main/Main.java
@@ -20,8 +20,9 @@
 import org.fennelstage.vm.SettingsException;
 
 /**
- * The {@code fennelstage} program: {@code trial}, {@code run} and {@code check}. Exit codes: 0
- * success, 1 invalid settings or failed start, 2 usage. Stateless and thread-safe.
+ * Runs the {@code fennelstage} program with the commands {@code trial}, {@code run}, {@code check}
+ * and {@code serve}. Exit codes: 0 success, 1 invalid settings or failed start, 2 wrong usage.
+ * Stateless and thread-safe.
  */
 public final class Main {
 
@@ -31,12 +32,12 @@
     private static final String HELP =
             String.join(
                     System.lineSeparator(),
-                    "usage: fennelstage trial [--port PORT]        one process with stand-ins",
-                    "       fennelstage run --settings FILE.ini    one entry VM",
-                    "       fennelstage check --settings FILE.ini  every mistake in the settings",
+                    "usage: fennelstage trial [--port PORT]        a VM and stand-ins in one process",
+                    "       fennelstage run --settings FILE.ini    one VM",
+                    "       fennelstage check --settings FILE.ini  list all mistakes in the settings",
                     "       fennelstage serve [--settings FILE.json] [--metrics-port PORT]",
-                    "             [--without NAME,...]             one VM on the users' platform;",
-                    "                                              NAME: a mechanism not to use, of",
+                    "             [--without NAME,...]             one VM on the platform;",
+                    "                                              NAME: a mechanism to disable, of",
                     "       " + Mechanism.options());
 
     private Main() {}
@@ -66,7 +67,7 @@
             final String command = line.getArgs().length == 1 ? line.getArgs()[0] : "";
             return switch (command) {
                 case "trial" -> trial(Integer.parseInt(line.getOptionValue("port", "8080")));
-                case "run" -> serve(settings(line));
+                case "run" -> runVm(settings(line));
                 case "check" -> check(settings(line));
                 case "serve" -> serveOnPlatform(line);
                 default -> usage("unknown command");
@@ -94,14 +95,14 @@
     }
 
     private static int check(final Settings settings) {
-        System.out.println("settings of " + settings.vm().id() + " are in order");
+        System.out.println("settings of " + settings.vm().id() + " are valid");
         return SUCCESS;
     }
 
-    private static int serve(final Settings settings) throws IOException {
+    private static int runVm(final Settings settings) throws IOException {
         LogSetup.apply(settings.log().json(), settings.log().level());
-        final RouterVm node = RouterVm.start(settings, RouterVm.Environment.standard());
-        Runtime.getRuntime().addShutdownHook(new Thread(node::stop, "graceful-stop"));
+        final RouterVm vm = RouterVm.start(settings, RouterVm.Environment.standard());
+        Runtime.getRuntime().addShutdownHook(new Thread(vm::stop, "graceful-stop"));
         return SUCCESS;
     }
 
@@ -110,7 +111,10 @@
         final String file =
                 line.getOptionValue("settings", System.getenv(PlatformSettings.FILE_VARIABLE));
         if (file == null) {
-            throw new ParseException("--settings is missing, and so is the variable for it");
+            throw new ParseException(
+                    "--settings FILE.json is missing and "
+                            + PlatformSettings.FILE_VARIABLE
+                            + " is not set");
         }
         final String port = line.getOptionValue("metrics-port");
         ServeCommand.run(
@@ -121,20 +125,20 @@
     }
 
     private static Policy policy(final String without) throws ParseException {
-        final List<Mechanism> off = new ArrayList<>();
+        final List<Mechanism> disabled = new ArrayList<>();
         for (final String name : without.isEmpty() ? new String[0] : without.split(",")) {
-            off.add(
+            disabled.add(
                     Mechanism.find(name)
                             .orElseThrow(
-                                    () -> new ParseException("no mechanism is named " + name)));
+                                    () -> new ParseException("unknown mechanism '" + name + "'")));
         }
-        return Policy.all().without(off);
+        return Policy.all().without(disabled);
     }
 
     private static int trial(final int port) throws IOException {
         LogSetup.apply(false, "warn");
         final Trial trial = Trial.start(port);
-        System.out.print(trial.greeting());
+        System.out.print(trial.instructions());
         System.out.flush();
         Runtime.getRuntime().addShutdownHook(new Thread(trial::close, "graceful-stop"));
         return SUCCESS;
--- a/fennelstage-router/src/main/java/org/fennelstage/main/RouterVm.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/main/RouterVm.java
@@ -52,21 +52,22 @@
 import org.fennelstage.settings.Settings;
 
 /**
- * One VM: its tables, its duties and its HTTP servers, from start to graceful stop.
+ * Assembles and runs one VM, from its start to its graceful stop: the tables of members and
+ * configuration, the duties for the data centre, and the HTTP servers for callers and operators.
  *
- * <p>Lock order: every shared table has one monitor, and no method holds a monitor while it calls
- * another table, a peer or the object API; so no order is needed. Thread-safe.
+ * <p>Every shared table has one monitor. No method holds a monitor while it calls another table, a
+ * peer or the store, so no lock order is needed. Thread-safe.
  */
 public final class RouterVm implements AutoCloseable {
 
-    private static final Duration PEER_GRACE = Duration.ofMillis(400);
-    private static final Duration STOP_STEP = Duration.ofMillis(20);
-    private static final Duration TLS_CHECK = Duration.ofSeconds(5);
+    private static final Duration PEER_CONFIGURATION_WAIT = Duration.ofMillis(400);
+    private static final Duration STOP_POLL_PERIOD = Duration.ofMillis(20);
+    private static final Duration TLS_CHECK_PERIOD = Duration.ofSeconds(5);
 
     private final Settings settings;
     private final EventLoopGroup group;
-    private final EventLoop control;
-    private final ConfigurationTable table = ConfigurationTable.empty();
+    private final EventLoop controlLoop;
+    private final ConfigurationTable configurationTable = ConfigurationTable.empty();
     private final HaltTable halts = HaltTable.empty();
     private final RouterMetrics metrics = new RouterMetrics();
     private final MemberTable members;
@@ -78,23 +79,23 @@
     private final Bills bills;
     private final Rollouts rollouts;
     private final ConfigurationWatcher watcher;
-    private final StatusReporter status;
+    private final StatusReporter statusReporter;
     private final Router router;
-    private final HttpServer callers;
-    private final HttpServer admin;
+    private final HttpServer callerServer;
+    private final HttpServer adminServer;
     private final ObjectStore store;
     private volatile Configuration configuration = Configuration.empty();
     private volatile boolean draining;
-    private volatile boolean begun;
+    private volatile boolean started;
 
     /**
      * Dependencies of a VM that tests and trials can replace.
      *
-     * @param store the object API, empty to connect to the address in the settings
+     * @param store the store, empty to connect to the object API at the address in the settings
      * @param clock the clock
      * @param reachability the peers to which connections are permitted
      * @param timing the intervals and timeouts of peer messages
-     * @param policy the limits on requests to the new version during a rollout
+     * @param policy the limits on exposures of the new version of a rollout
      * @param threads the number of event loops
      */
     public record Environment(
@@ -121,9 +122,9 @@
         }
 
         /**
-         * Returns this environment with another object API.
+         * Returns this environment with another store.
          *
-         * @param other the object API
+         * @param other the store
          * @return the environment
          */
         public Environment withStore(final ObjectStore other) {
@@ -135,11 +136,11 @@
     private RouterVm(final Settings settings, final Environment environment) throws IOException {
         this.settings = settings;
         this.group = new NioEventLoopGroup(environment.threads());
-        this.control = group.next();
+        this.controlLoop = group.next();
         final InstantSource clock = environment.clock();
         final SplittableRandom random =
                 new SplittableRandom(settings.vm().id().hashCode() ^ clock.millis());
-        this.store = environment.store().orElseGet(() -> client(clock));
+        this.store = environment.store().orElseGet(() -> objectApiClient(clock));
         final PeerTls tls = peerTls();
         this.network =
                 PeerNetwork.start(
@@ -164,35 +165,44 @@
                         environment.timing().suspicion());
         this.peers =
                 new PeerGroup(
-                        new PeerGroup.Tables(members, table, halts),
-                        control,
+                        new PeerGroup.Tables(members, configurationTable, halts),
+                        controlLoop,
                         environment.timing(),
                         random.split(),
                         settings.seeds(),
-                        new Changes());
+                        new PeerListener());
         this.duties = new Duties(members, peers, network);
         this.claimKeeper =
-                new ClaimKeeper(store, control, clock, random.split(), settings.claims().timeout());
+                new ClaimKeeper(
+                        store, controlLoop, clock, random.split(), settings.claims().timeout());
         this.claims =
                 new Claims(
                         duties,
                         claimKeeper,
-                        control,
+                        controlLoop,
                         clock,
                         settings.claims().slots(),
                         settings.claims().timeout());
-        this.bills = new Bills(duties, store, control, clock);
+        this.bills = new Bills(duties, store, controlLoop, clock);
         this.rollouts =
                 new Rollouts(
                         new Rollouts.Dependencies(() -> configuration, duties, peers, halts, store),
-                        control,
+                        controlLoop,
                         clock,
                         environment.policy(),
                         settings.rating().address().isPresent() ? settings.rating().share() : 0);
         this.watcher =
-                new ConfigurationWatcher(store, duties, peers, table, control, random.split());
-        this.status =
-                new StatusReporter(duties, members, table, store, control, clock, this::isReady);
+                new ConfigurationWatcher(
+                        store, duties, peers, configurationTable, controlLoop, random.split());
+        this.statusReporter =
+                new StatusReporter(
+                        duties,
+                        members,
+                        configurationTable,
+                        store,
+                        controlLoop,
+                        clock,
+                        this::isReady);
         this.router =
                 new Router(
                         new Router.Dependencies(
@@ -204,13 +214,13 @@
                                 rollouts,
                                 metrics,
                                 duties,
-                                control),
+                                controlLoop),
                         settings.vm().dataCentre(),
                         this::vmCount,
                         settings.rating().address(),
                         settings.rating().share());
-        this.callers = startCallers();
-        this.admin =
+        this.callerServer = startCallerServer();
+        this.adminServer =
                 HttpServer.start(
                         group,
                         new InetSocketAddress(
@@ -224,22 +234,22 @@
      *
      * @param settings the settings of the VM
      * @param environment the dependencies of the VM
-     * @return the running VM; it is ready once it has a configuration
+     * @return the running VM, ready as soon as it has a configuration
      * @throws IOException if an address cannot be bound or a key file cannot be read
      */
     public static RouterVm start(final Settings settings, final Environment environment)
             throws IOException {
-        final RouterVm node = new RouterVm(settings, environment);
-        node.begin();
-        return node;
+        final RouterVm vm = new RouterVm(settings, environment);
+        vm.startComponents();
+        return vm;
     }
 
     public int port() {
-        return callers.port();
+        return callerServer.port();
     }
 
     public int adminPort() {
-        return admin.port();
+        return adminServer.port();
     }
 
     public int peerPort() {
@@ -277,16 +287,17 @@
 
     /**
      * Stops gracefully: rejects new requests, waits for requests in flight for at most the drain
-     * time in the settings, stores or hands over bills, and closes.
+     * time in the settings, writes its bills to the store or hands them over to another VM, and
+     * closes.
      */
     public void stop() {
         EventLog.write(Event.DRAINING, "vm", settings.vm().id(), "in_flight", router.inFlight());
         draining = true;
         peers.leave();
-        callers.stopAccepting();
+        callerServer.stopAccepting();
         router.drain();
-        final long deadline = System.nanoTime() + settings.drain().toNanos();
-        awaitUntil(deadline, () -> router.inFlight() == 0);
+        final long drainDeadline = System.nanoTime() + settings.drain().toNanos();
+        awaitUntil(drainDeadline, () -> router.inFlight() == 0);
         if (router.inFlight() > 0) {
             EventLog.write(Event.DRAIN_TIMED_OUT, "in_flight", router.inFlight());
         }
@@ -309,20 +320,20 @@
     public void close() {
         watcher.close();
         peers.close();
-        callers.close();
-        admin.close();
+        callerServer.close();
+        adminServer.close();
         network.close();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
 
-    private void begin() {
-        begun = true;
+    private void startComponents() {
+        started = true;
         peers.start(network);
-        watcher.start(settings.seeds().isEmpty() ? Duration.ZERO : PEER_GRACE);
+        watcher.start(settings.seeds().isEmpty() ? Duration.ZERO : PEER_CONFIGURATION_WAIT);
         bills.start();
         rollouts.start();
         router.ledger().start();
-        status.start();
+        statusReporter.start();
         metrics.gauge("fennelstage_bills_waiting", "Bills not yet stored", () -> bills.waiting());
         metrics.gauge("fennelstage_claims_cached", "Claims in memory", () -> claimKeeper.cached());
         metrics.gauge(
@@ -345,7 +356,7 @@
                 peerPort());
     }
 
-    private HttpServer startCallers() throws IOException {
+    private HttpServer startCallerServer() throws IOException {
         final Settings.Limits limits = settings.limits();
         final ServerLimits serverLimits =
                 ServerLimits.of(limits.maxHeaderBytes(), limits.maxBodyBytes(), limits.idle());
@@ -355,7 +366,7 @@
             return HttpServer.start(group, address, serverLimits, router);
         }
         final TlsContexts tls = TlsContexts.load(settings.tls().callers().get());
-        watchKeys(tls);
+        watchKeyFiles(tls);
         return HttpServer.start(group, address, () -> serverLimits, tls::server, router);
     }
 
@@ -364,45 +375,46 @@
             return PeerTls.NONE;
         }
         final TlsContexts tls = TlsContexts.load(settings.tls().peers().get());
-        watchKeys(tls);
+        watchKeyFiles(tls);
         return new PeerTls(tls::server, tls::client);
     }
 
-    private void watchKeys(final TlsContexts tls) {
-        final long period = TLS_CHECK.toMillis();
-        control.scheduleWithFixedDelay(tls::refresh, period, period, TimeUnit.MILLISECONDS);
+    private void watchKeyFiles(final TlsContexts tls) {
+        final long period = TLS_CHECK_PERIOD.toMillis();
+        controlLoop.scheduleWithFixedDelay(tls::refresh, period, period, TimeUnit.MILLISECONDS);
     }
 
-    private ObjectStore client(final InstantSource clock) {
+    private ObjectStore objectApiClient(final InstantSource clock) {
         final Settings.Platform platform = settings.platform();
         return new ObjectApiClient(
-                new HttpClient(control),
+                new HttpClient(controlLoop),
                 platform.objects(),
                 CallBudget.of(clock, platform.callsPerSecond(), platform.burst()),
                 platform.timeout());
     }
 
     private void onMessage(final Envelope message, final Consumer<Envelope.Builder> reply) {
-        if (!begun) {
-            // Peers may connect before all parts of this VM are initialized. They get no reply and
+        if (!started) {
+            // Peers may connect before this VM is completely initialized. They get no reply and
             // send the message again.
             return;
         }
-        final boolean taken =
+        final boolean handled =
                 peers.handle(message, reply)
                         || claims.handle(message, reply)
                         || bills.handle(message, reply)
                         || rollouts.handle(message, reply)
                         || router.ledger().handle(message, reply)
-                        || status.handle(message);
-        if (!taken) {
+                        || statusReporter.handle(message);
+        if (!handled) {
             reply.accept(Envelope.newBuilder());
         }
     }
 
+    /** Estimates the VMs of all data centres, as if each data centre had as many as this one. */
     private int vmCount() {
-        final int own = members.dutyVms().size();
-        return own * (1 + members.remoteMembers().size());
+        final int localVms = members.dutyVms().size();
+        return localVms * (1 + members.remoteMembers().size());
     }
 
     private byte[] statusJson() {
@@ -421,7 +433,7 @@
             final long deadlineNanos, final java.util.function.BooleanSupplier condition) {
         while (!condition.getAsBoolean() && System.nanoTime() < deadlineNanos) {
             try {
-                Thread.sleep(STOP_STEP.toMillis());
+                Thread.sleep(STOP_POLL_PERIOD.toMillis());
             } catch (final InterruptedException e) {
                 Thread.currentThread().interrupt();
                 return;
@@ -429,15 +441,15 @@
         }
     }
 
-    private final class Changes implements PeerGroup.Listener {
+    private final class PeerListener implements PeerGroup.Listener {
 
         @Override
         public void onConfiguration(final List<StoredObject> changed) {
             final boolean wasReady = isReady();
             synchronized (this) {
-                // Built under a lock, so that a slow thread cannot replace a newer configuration
-                // with an older one, which would make a withdrawn version available again.
-                final Declarations.Decoded decoded = Declarations.decodeAll(table);
+                // Decoded under a lock, so that a slow thread cannot replace a newer configuration
+                // with an older one, which would make a withdrawn version usable again.
+                final Declarations.Decoded decoded = Declarations.decodeAll(configurationTable);
                 decoded.malformed()
                         .forEach(m -> EventLog.write(Event.CONFIGURATION_MALFORMED, "detail", m));
                 configuration = decoded.configuration();
@@ -451,7 +463,7 @@
             if (!wasReady && isReady()) {
                 EventLog.write(Event.READY, "vm", settings.vm().id());
             }
-            status.reportNow();
+            statusReporter.reportNow();
         }
 
         @Override
--- a/fennelstage-router/src/main/java/org/fennelstage/main/ServeCommand.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/main/ServeCommand.java
@@ -10,8 +10,7 @@
 import org.fennelstage.vm.VmProcess;
 
 /**
- * {@code fennelstage serve}: one VM on the users' platform, until SIGTERM. Stateless and
- * thread-safe.
+ * Runs {@code fennelstage serve}: one VM on the platform, until SIGTERM. Stateless and thread-safe.
  */
 final class ServeCommand {
 
--- a/fennelstage-router/src/main/java/org/fennelstage/main/TlsContexts.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/main/TlsContexts.java
@@ -13,17 +13,17 @@
 import org.fennelstage.settings.Settings;
 
 /**
- * TLS contexts built from one set of key files and rebuilt when the files change.
+ * Builds TLS contexts from one set of key files and rebuilds them when the files change.
  *
  * <p>Invariant: if the files cannot be read, the contexts in use stay in place, so an incomplete
- * key rotation interrupts no connections. Thread-safe.
+ * key rotation does not interrupt connections. Thread-safe.
  */
 final class TlsContexts {
 
     private final Settings.KeyFiles files;
     private final AtomicReference<Loaded> loaded = new AtomicReference<>();
 
-    private record Loaded(SslContext server, SslContext client, long stamp) {}
+    private record Loaded(SslContext server, SslContext client, long modificationStamp) {}
 
     private TlsContexts(final Settings.KeyFiles files) {
         this.files = files;
@@ -32,7 +32,7 @@
     /**
      * Reads the files.
      *
-     * @param files the certificate, the key and the authority
+     * @param files the certificate, the private key and the certificate of the authority
      * @return the contexts
      * @throws IOException if they cannot be read
      */
@@ -53,7 +53,7 @@
     /** Reads the files again if the modification time of the certificate or the key changed. */
     void refresh() {
         try {
-            if (stamp() == loaded.get().stamp()) {
+            if (modificationStamp() == loaded.get().modificationStamp()) {
                 return;
             }
             loaded.set(read());
@@ -64,7 +64,7 @@
     }
 
     private Loaded read() throws IOException {
-        final long stamp = stamp();
+        final long modificationStamp = modificationStamp();
         try {
             final SslContextBuilder server =
                     SslContextBuilder.forServer(files.certificate().toFile(), files.key().toFile());
@@ -78,17 +78,17 @@
                                 server.trustManager(a.toFile()).clientAuth(ClientAuth.REQUIRE);
                                 client.trustManager(a.toFile());
                             });
-            return new Loaded(server.build(), client.build(), stamp);
+            return new Loaded(server.build(), client.build(), modificationStamp);
         } catch (final IllegalArgumentException e) {
             throw new IOException("invalid key files: " + e.getMessage(), e);
         }
     }
 
-    private long stamp() throws IOException {
-        return modified(files.certificate()) * 31 + modified(files.key());
+    private long modificationStamp() throws IOException {
+        return modifiedMillis(files.certificate()) * 31 + modifiedMillis(files.key());
     }
 
-    private static long modified(final Path path) throws IOException {
+    private static long modifiedMillis(final Path path) throws IOException {
         return Files.getLastModifiedTime(path).toMillis();
     }
 }
--- a/fennelstage-router/src/main/java/org/fennelstage/main/Trial.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/main/Trial.java
@@ -39,10 +39,9 @@
 import org.fennelstage.team.Team;
 
 /**
- * A complete local setup in one process on loopback: an object API in memory, engines of two models
- * with two versions each, a plain service, a rating service and two teams.
- *
- * <p>Thread-safe.
+ * Runs a VM and stand-ins for all external services in one process on loopback: an object API in
+ * memory, engines of two models with two versions each, a plain service and a rating service. Two
+ * teams are declared. Thread-safe.
  */
 final class Trial implements AutoCloseable {
 
@@ -60,16 +59,16 @@
     private final EventLoopGroup group = new NioEventLoopGroup(2);
     private final MemoryObjectStore store = MemoryObjectStore.empty();
     private final List<AutoCloseable> standIns = new ArrayList<>();
-    private final ObjectApiStandIn objects;
-    private final RouterVm node;
+    private final ObjectApiStandIn objectApi;
+    private final RouterVm vm;
 
     private Trial(final int port) throws IOException {
-        objects = ObjectApiStandIn.start(group, any(), store, SEED);
-        standIns.add(objects);
-        final RatingService rating = RatingService.start(group, any(), 200);
+        objectApi = ObjectApiStandIn.start(group, anyPort(), store, SEED);
+        standIns.add(objectApi);
+        final RatingService rating = RatingService.start(group, anyPort(), 200);
         standIns.add(rating);
-        declare();
-        node =
+        declareAll();
+        vm =
                 RouterVm.start(
                         settings(port, rating.port()),
                         RouterVm.Environment.standard().withStore(store));
@@ -81,20 +80,16 @@
     }
 
     int port() {
-        return node.port();
+        return vm.port();
     }
 
-    String greeting() {
-        final String address = "http://" + HOST + ":" + node.port();
+    String instructions() {
+        final String address = "http://" + HOST + ":" + vm.port();
         return String.join(
                 System.lineSeparator(),
                 "fennelstage trial listens on " + address,
-                "operators: http://"
-                        + HOST
-                        + ":"
-                        + node.adminPort()
-                        + " (/readyz /metrics /status)",
-                "object API for fennelctl: --store " + HOST + ":" + objects.port(),
+                "operators: http://" + HOST + ":" + vm.adminPort() + " (/readyz /metrics /status)",
+                "object API for fennelctl: --store " + HOST + ":" + objectApi.port(),
                 "team editors:  key editors-key  profiles subject-line, full-issue, send",
                 "team auditors: key auditors-key profile  subject-line",
                 "plain service: /services/klub-portal-api/",
@@ -109,7 +104,7 @@
 
     @Override
     public void close() {
-        node.stop();
+        vm.stop();
         for (final AutoCloseable standIn : standIns) {
             try {
                 standIn.close();
@@ -123,58 +118,62 @@
 
     private void awaitReady() throws IOException {
         final long deadline = System.nanoTime() + Duration.ofSeconds(10).toNanos();
-        while (!node.isReady()) {
+        while (!vm.isReady()) {
             if (System.nanoTime() > deadline) {
-                throw new IOException("the trial did not become ready within 10 s");
+                throw new IOException("the VM of the trial did not become ready within 10 s");
             }
             Thread.onSpinWait();
         }
     }
 
-    private void declare() throws IOException {
+    private void declareAll() throws IOException {
         for (final VersionBehaviour behaviour : BEHAVIOURS) {
-            final boolean isFirst = behaviour.version().version().equals("v1");
+            final boolean isServing = behaviour.version().version().equals("v1");
             final double cost = behaviour.version().model().value().equals("pero-small") ? 1 : 12;
-            put(
+            declare(
                     DeclarationKind.VERSION,
                     behaviour.version().toString(),
                     new ModelVersion(
                             behaviour.version(),
-                            isFirst ? ModelVersion.State.SERVING : ModelVersion.State.DRAINING,
+                            isServing ? ModelVersion.State.SERVING : ModelVersion.State.DRAINING,
                             cost));
         }
-        engine("pero-small", "pero-worker-1");
-        engine("pero-small", "pero-worker-2");
-        engine("pero-large", "pero-worker-3");
-        engine("pero-large", "pero-worker-4");
-        final PlainService service = PlainService.start(group, any());
+        startEngine("pero-small", "pero-worker-1");
+        startEngine("pero-small", "pero-worker-2");
+        startEngine("pero-large", "pero-worker-3");
+        startEngine("pero-large", "pero-worker-4");
+        final PlainService service = PlainService.start(group, anyPort());
         standIns.add(service);
-        server("klub-1", service.port(), Set.of(), Optional.of(ServiceName.of("klub-portal-api")));
-        profile("subject-line", "pero-small", 0.6, true, 16);
-        profile("full-issue", "pero-large", 0.85, true, 200);
-        profile("send", "pero-small", 0.6, false, 16);
-        team("editors", Set.of("subject-line", "full-issue", "send"), true);
-        team("auditors", Set.of("subject-line"), false);
-        put(DeclarationKind.KEY_RING, "sessions", KeyRing.of("k1", UUID.randomUUID().toString()));
+        declareServer(
+                "klub-1", service.port(), Set.of(), Optional.of(ServiceName.of("klub-portal-api")));
+        declareProfile("subject-line", "pero-small", 0.6, true, 16);
+        declareProfile("full-issue", "pero-large", 0.85, true, 200);
+        declareProfile("send", "pero-small", 0.6, false, 16);
+        declareTeam("editors", Set.of("subject-line", "full-issue", "send"), true);
+        declareTeam("auditors", Set.of("subject-line"), false);
+        declare(
+                DeclarationKind.KEY_RING,
+                "sessions",
+                KeyRing.of("k1", UUID.randomUUID().toString()));
     }
 
-    private void engine(final String model, final String name) throws IOException {
+    private void startEngine(final String model, final String name) throws IOException {
         final List<VersionBehaviour> behaviours =
                 BEHAVIOURS.stream().filter(b -> b.version().model().value().equals(model)).toList();
         final ModelEngine engine =
-                ModelEngine.start(group, any(), behaviours, SLOTS, name.hashCode());
+                ModelEngine.start(group, anyPort(), behaviours, SLOTS, name.hashCode());
         standIns.add(engine);
         final Set<VersionId> versions =
                 Set.of(VersionId.of(model, "v1"), VersionId.of(model, "v2"));
-        server(name, engine.port(), versions, Optional.empty());
+        declareServer(name, engine.port(), versions, Optional.empty());
     }
 
-    private void server(
+    private void declareServer(
             final String name,
             final int port,
             final Set<VersionId> versions,
             final Optional<ServiceName> service) {
-        put(
+        declare(
                 DeclarationKind.BACKEND_SERVER,
                 name,
                 new BackendServer(
@@ -188,13 +187,13 @@
                         false));
     }
 
-    private void profile(
+    private void declareProfile(
             final String name,
             final String model,
             final double quality,
             final boolean idempotent,
-            final int tokens) {
-        put(
+            final int maxTokens) {
+        declare(
                 DeclarationKind.PROFILE,
                 name,
                 new Profile(
@@ -204,11 +203,12 @@
                         Duration.ofMillis(1300),
                         Duration.ofSeconds(30),
                         idempotent,
-                        tokens));
+                        maxTokens));
     }
 
-    private void team(final String name, final Set<String> profiles, final boolean explain) {
-        put(
+    private void declareTeam(
+            final String name, final Set<String> profiles, final boolean mayExplain) {
+        declare(
                 DeclarationKind.TEAM,
                 name,
                 new Team(
@@ -220,10 +220,10 @@
                         Set.of(ModelId.of("pero-small"), ModelId.of("pero-large")),
                         200,
                         100,
-                        explain));
+                        mayExplain));
     }
 
-    private void put(final DeclarationKind kind, final String id, final Object declaration) {
+    private void declare(final DeclarationKind kind, final String id, final Object declaration) {
         store.write(
                         Keys.declaration(kind, id),
                         Revision.NONE,
@@ -236,7 +236,7 @@
         return new Settings(
                 new Settings.Vm(VmId.of("trial-vm"), DATA_CENTRE),
                 new Settings.Listen(HOST, port, HOST, 0, 0),
-                new Settings.Platform(any(), 100, 100, Duration.ofSeconds(2)),
+                new Settings.Platform(anyPort(), 100, 100, Duration.ofSeconds(2)),
                 List.of(),
                 new Settings.Limits(16 * 1024, 1024 * 1024, Duration.ofSeconds(30)),
                 new Settings.Claims(16, Duration.ofSeconds(2)),
@@ -246,7 +246,7 @@
                 Duration.ofSeconds(5));
     }
 
-    private static InetSocketAddress any() {
+    private static InetSocketAddress anyPort() {
         return new InetSocketAddress(HOST, 0);
     }
 }
--- a/fennelstage-router/src/test/java/org/fennelstage/main/Fleet.java
+++ b/fennelstage-router/src/test/java/org/fennelstage/main/Fleet.java
@@ -60,16 +60,16 @@
 import org.fennelstage.team.Team;
 
 /**
- * VMs of several data centres in one process over loopback, with stand-ins for external services
- * and injected faults. Each data centre has its own API to the shared object store, so that it can
- * be cut off separately. Not thread-safe.
+ * Runs the VMs of several data centres in one process over loopback, with stand-ins for the
+ * external services and injected faults. All data centres share one store; each has its own object
+ * API, so that the store can be made unavailable to a single data centre. Not thread-safe.
  */
 final class Fleet implements AutoCloseable {
 
-    static final VersionId GOOD = VersionId.of("pero", "v1");
-    static final VersionId BAD = VersionId.of("pero", "v2");
-    static final VersionId LARGE = VersionId.of("grande", "v1");
-    static final String KEY = "team-key";
+    static final VersionId SMALL_V1 = VersionId.of("pero", "v1");
+    static final VersionId SMALL_V2 = VersionId.of("pero", "v2");
+    static final VersionId LARGE_V1 = VersionId.of("grande", "v1");
+    static final String TEAM_KEY = "team-key";
 
     private static final String HOST = "127.0.0.1";
     static final PeerTiming TIMING =
@@ -80,62 +80,62 @@
     private final MemoryObjectStore store = MemoryObjectStore.empty();
     private final List<ObjectApiStandIn> apis = new ArrayList<>();
     private final List<ModelEngine> engines = new ArrayList<>();
-    private final List<RouterVm> nodes = new ArrayList<>();
+    private final List<RouterVm> vms = new ArrayList<>();
     private final List<Integer> peerPorts = new ArrayList<>();
     private final Map<Integer, Integer> dataCentreOfPort = new ConcurrentHashMap<>();
-    private final Set<List<Integer>> cuts = ConcurrentHashMap.newKeySet();
+    private final Set<List<Integer>> partitions = ConcurrentHashMap.newKeySet();
     private final HttpClient http =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     private final PlainService service;
     private final RatingService rating;
-    private final int perDataCentre;
+    private final int vmsPerDataCentre;
     private final PeerTiming timing;
 
-    /** Response that a caller received. */
-    record Answer(int status, Map<String, List<String>> headers, String body) {
+    /** A response as the caller received it; the status is 0 if the connection failed. */
+    record Response(int status, Map<String, List<String>> headers, String body) {
         String outcome() {
             return headers.getOrDefault("x-outcome", List.of("none")).get(0);
         }
 
-        String request() {
+        String requestId() {
             return headers.getOrDefault("x-request-id", List.of("")).get(0);
         }
 
-        String session() {
+        String sessionToken() {
             return headers.getOrDefault("x-session", List.of("")).get(0);
         }
 
-        String explained() {
+        String explanation() {
             return headers.getOrDefault("x-explain", List.of("")).get(0);
         }
     }
 
-    Fleet(final int dataCentres, final int perDataCentre, final VersionBehaviour... behaviours)
+    Fleet(final int dataCentres, final int vmsPerDataCentre, final VersionBehaviour... behaviours)
             throws IOException {
-        this(TIMING, dataCentres, perDataCentre, behaviours);
+        this(TIMING, dataCentres, vmsPerDataCentre, behaviours);
     }
 
     Fleet(
             final PeerTiming timing,
             final int dataCentres,
-            final int perDataCentre,
+            final int vmsPerDataCentre,
             final VersionBehaviour... behaviours)
             throws IOException {
         this.timing = timing;
-        this.perDataCentre = perDataCentre;
-        this.service = PlainService.start(group, any());
-        this.rating = RatingService.start(group, any(), 20);
+        this.vmsPerDataCentre = vmsPerDataCentre;
+        this.service = PlainService.start(group, anyPort());
+        this.rating = RatingService.start(group, anyPort(), 20);
         declareAll(dataCentres, List.of(behaviours));
-        for (int dc = 0; dc < dataCentres; dc++) {
-            apis.add(ObjectApiStandIn.start(group, any(), store, dc));
+        for (int dataCentre = 0; dataCentre < dataCentres; dataCentre++) {
+            apis.add(ObjectApiStandIn.start(group, anyPort(), store, dataCentre));
         }
-        for (int i = 0; i < dataCentres * perDataCentre; i++) {
-            nodes.add(null);
+        for (int i = 0; i < dataCentres * vmsPerDataCentre; i++) {
+            vms.add(null);
             peerPorts.add(0);
             start(i);
         }
-        await("all VMs ready", () -> nodes.stream().allMatch(RouterVm::isReady));
-        await("all VMs know their data centre", this::isWhole);
+        await("all VMs to be ready", () -> vms.stream().allMatch(RouterVm::isReady));
+        await("every VM to know its data centre", this::allVmsKnowTheirDataCentre);
     }
 
     static VersionBehaviour behaviour(
@@ -143,11 +143,11 @@
         return new VersionBehaviour(version, skill, errors, 0, 1, 1);
     }
 
-    static void await(final String what, final BooleanSupplier condition) {
+    static void await(final String description, final BooleanSupplier condition) {
         final long deadline = System.nanoTime() + MAX_WAIT.toNanos();
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > deadline) {
-                throw new AssertionError("timed out waiting for: " + what);
+                throw new AssertionError("timed out waiting for " + description);
             }
             try {
                 Thread.sleep(5);
@@ -158,12 +158,12 @@
         }
     }
 
-    RouterVm node(final int index) {
-        return nodes.get(index);
+    RouterVm vm(final int index) {
+        return vms.get(index);
     }
 
-    List<RouterVm> nodes() {
-        return nodes;
+    List<RouterVm> vms() {
+        return vms;
     }
 
     PlainService service() {
@@ -171,42 +171,42 @@
     }
 
     void start(final int index) throws IOException {
-        final int dc = index / perDataCentre;
-        final RouterVm node =
+        final int dataCentre = index / vmsPerDataCentre;
+        final RouterVm vm =
                 RouterVm.start(
-                        settings(index, dc),
+                        settings(index, dataCentre),
                         new RouterVm.Environment(
                                 Optional.empty(),
                                 InstantSource.system(),
-                                address -> permits(dc, address),
+                                address -> isReachable(dataCentre, address),
                                 timing,
                                 ExposurePolicy.DEFAULT,
                                 2));
-        nodes.set(index, node);
-        peerPorts.set(index, node.peerPort());
-        dataCentreOfPort.put(node.peerPort(), dc);
+        vms.set(index, vm);
+        peerPorts.set(index, vm.peerPort());
+        dataCentreOfPort.put(vm.peerPort(), dataCentre);
     }
 
-    /** Stops a VM immediately; its state in memory is lost. */
-    void kill(final int index) {
-        nodes.get(index).close();
+    /** Stops a VM without draining, as in a crash; its state in memory is lost. */
+    void crash(final int index) {
+        vms.get(index).close();
     }
 
-    /** Cuts two data centres off from each other. */
-    void cut(final int left, final int right) {
-        cuts.add(List.of(Math.min(left, right), Math.max(left, right)));
+    /** Blocks peer connections between two data centres. */
+    void partition(final int first, final int second) {
+        partitions.add(List.of(Math.min(first, second), Math.max(first, second)));
     }
 
-    void removeCuts() {
-        cuts.clear();
+    void removePartitions() {
+        partitions.clear();
     }
 
-    void platform(final int dataCentre, final ObjectApiFaults faults) {
+    void injectStoreFaults(final int dataCentre, final ObjectApiFaults faults) {
         apis.get(dataCentre).faults(faults);
     }
 
-    void platformDown(final boolean down) {
-        apis.forEach(a -> a.faults(new ObjectApiFaults(down, 0, 0, 0)));
+    void setStoreUnavailable(final boolean unavailable) {
+        apis.forEach(a -> a.faults(new ObjectApiFaults(unavailable, 0, 0, 0)));
     }
 
     void declare(final DeclarationKind kind, final String id, final Object declaration) {
@@ -225,48 +225,48 @@
         }
     }
 
-    void state(final VersionId version, final ModelVersion.State state) {
+    void declareVersion(final VersionId version, final ModelVersion.State state) {
         declare(DeclarationKind.VERSION, version.toString(), new ModelVersion(version, state, 1));
     }
 
-    Answer chat(final int node, final String profile, final String... headers) {
-        return chatLater(node, profile, headers).join();
+    Response chat(final int vm, final String profile, final String... headers) {
+        return chatAsync(vm, profile, headers).join();
     }
 
-    CompletableFuture<Answer> chatLater(
-            final int node, final String profile, final String... headers) {
-        return say(node, profile, "hello", headers);
+    CompletableFuture<Response> chatAsync(
+            final int vm, final String profile, final String... headers) {
+        return chatWithPrompt(vm, profile, "hello", headers);
     }
 
-    CompletableFuture<Answer> say(
-            final int node, final String profile, final String prompt, final String... headers) {
+    CompletableFuture<Response> chatWithPrompt(
+            final int vm, final String profile, final String prompt, final String... headers) {
         final String body =
                 "{\"model\":\""
                         + profile
                         + "\",\"messages\":[{\"role\":\"user\",\"content\":\""
                         + prompt
                         + "\"}]}";
-        return send(node, "POST", "/v1/chat/completions", body, headers);
+        return sendAsync(vm, "POST", "/v1/chat/completions", body, headers);
     }
 
-    CompletableFuture<Answer> send(
-            final int node,
+    CompletableFuture<Response> sendAsync(
+            final int vm,
             final String method,
             final String path,
             final String body,
             final String... headers) {
         final HttpRequest.Builder request =
                 HttpRequest.newBuilder(
-                                URI.create("http://" + HOST + ":" + nodes.get(node).port() + path))
+                                URI.create("http://" + HOST + ":" + vms.get(vm).port() + path))
                         .timeout(Duration.ofSeconds(30))
-                        .header("authorization", "Bearer " + KEY)
+                        .header("authorization", "Bearer " + TEAM_KEY)
                         .method(method, HttpRequest.BodyPublishers.ofString(body));
         for (int i = 0; i + 1 < headers.length; i += 2) {
             request.header(headers[i], headers[i + 1]);
         }
         return http.sendAsync(request.build(), HttpResponse.BodyHandlers.ofString())
-                .thenApply(r -> new Answer(r.statusCode(), r.headers().map(), r.body()))
-                .exceptionally(e -> new Answer(0, Map.of(), String.valueOf(e.getMessage())));
+                .thenApply(r -> new Response(r.statusCode(), r.headers().map(), r.body()))
+                .exceptionally(e -> new Response(0, Map.of(), String.valueOf(e.getMessage())));
     }
 
     /** All requests that ran on any engine. */
@@ -274,7 +274,7 @@
         return engines.stream().flatMap(e -> e.executions().stream()).toList();
     }
 
-    long ranOn(final VersionId version) {
+    long executionCount(final VersionId version) {
         return executions().stream().filter(e -> e.version().equals(version.toString())).count();
     }
 
@@ -291,7 +291,7 @@
         return bills;
     }
 
-    Set<String> billed() {
+    Set<String> billedRequests() {
         final Set<String> requests = new HashSet<>();
         bills().forEach(b -> requests.add(b.request().value()));
         return requests;
@@ -305,7 +305,7 @@
 
     @Override
     public void close() {
-        nodes.forEach(RouterVm::close);
+        vms.forEach(RouterVm::close);
         engines.forEach(ModelEngine::close);
         apis.forEach(ObjectApiStandIn::close);
         service.close();
@@ -314,42 +314,49 @@
         group.shutdownGracefully(0, 1, java.util.concurrent.TimeUnit.SECONDS);
     }
 
-    private boolean isWhole() {
-        return nodes.stream().allMatch(n -> n.members().dutyVms().size() == perDataCentre);
+    private boolean allVmsKnowTheirDataCentre() {
+        return vms.stream().allMatch(vm -> vm.members().dutyVms().size() == vmsPerDataCentre);
     }
 
-    private boolean permits(final int from, final InetSocketAddress to) {
-        final Integer other = dataCentreOfPort.get(to.getPort());
-        return other == null
-                || !cuts.contains(List.of(Math.min(from, other), Math.max(from, other)));
+    private boolean isReachable(final int from, final InetSocketAddress to) {
+        final Integer toDataCentre = dataCentreOfPort.get(to.getPort());
+        return toDataCentre == null
+                || !partitions.contains(
+                        List.of(Math.min(from, toDataCentre), Math.max(from, toDataCentre)));
     }
 
     private void declareAll(final int dataCentres, final List<VersionBehaviour> behaviours)
             throws IOException {
         final List<VersionBehaviour> all =
-                behaviours.isEmpty() ? List.of(behaviour(GOOD, 0.9, 0)) : behaviours;
+                behaviours.isEmpty() ? List.of(behaviour(SMALL_V1, 0.9, 0)) : behaviours;
         final Set<VersionId> versions = new HashSet<>();
         for (final VersionBehaviour behaviour : all) {
             versions.add(behaviour.version());
-            state(behaviour.version(), ModelVersion.State.SERVING);
+            declareVersion(behaviour.version(), ModelVersion.State.SERVING);
         }
-        for (int dc = 0; dc < dataCentres; dc++) {
+        for (int dataCentre = 0; dataCentre < dataCentres; dataCentre++) {
             for (int i = 0; i < 2; i++) {
-                final ModelEngine engine = ModelEngine.start(group, any(), all, 16, dc * 2L + i);
+                final ModelEngine engine =
+                        ModelEngine.start(group, anyPort(), all, 16, dataCentre * 2L + i);
                 engines.add(engine);
-                server("engine-" + dc + "-" + i, dc, engine.port(), versions, Optional.empty());
+                declareServer(
+                        "engine-" + dataCentre + "-" + i,
+                        dataCentre,
+                        engine.port(),
+                        versions,
+                        Optional.empty());
             }
         }
-        server("klub-1", 0, service.port(), Set.of(), Optional.of(ServiceName.of("klub")));
-        profile("draft", true, "pero");
-        profile("send", false, "pero");
-        profile("digest", true, "pero", "grande");
+        declareServer("klub-1", 0, service.port(), Set.of(), Optional.of(ServiceName.of("klub")));
+        declareProfile("draft", true, "pero");
+        declareProfile("send", false, "pero");
+        declareProfile("digest", true, "pero", "grande");
         declare(
                 DeclarationKind.TEAM,
                 "editors",
                 new Team(
                         TeamId.of("editors"),
-                        KeyHash.ofKey("salt", KEY),
+                        KeyHash.ofKey("salt", TEAM_KEY),
                         Set.of(ProfileId.of("draft"), ProfileId.of("send"), ProfileId.of("digest")),
                         Set.of(ModelId.of("pero"), ModelId.of("grande")),
                         100_000,
@@ -358,7 +365,8 @@
         declare(DeclarationKind.KEY_RING, "sessions", KeyRing.of("k1", "secret-1"));
     }
 
-    private void profile(final String name, final boolean idempotent, final String... models) {
+    private void declareProfile(
+            final String name, final boolean idempotent, final String... models) {
         declare(
                 DeclarationKind.PROFILE,
                 name,
@@ -372,22 +380,22 @@
                         4));
     }
 
-    void server(
+    void declareServer(
             final String name,
-            final int dc,
+            final int dataCentre,
             final int port,
             final Set<VersionId> versions,
-            final Optional<ServiceName> plain) {
+            final Optional<ServiceName> serviceName) {
         declare(
                 DeclarationKind.BACKEND_SERVER,
                 name,
                 new BackendServer(
                         BackendServerId.of(name),
-                        dataCentre(dc),
+                        dataCentreId(dataCentre),
                         HOST,
                         port,
                         versions,
-                        plain,
+                        serviceName,
                         16,
                         false));
     }
@@ -396,7 +404,7 @@
         return engines.get(index);
     }
 
-    private Settings settings(final int index, final int dc) {
+    private Settings settings(final int index, final int dataCentre) {
         final List<InetSocketAddress> seeds = new ArrayList<>();
         for (int i = 0; i < peerPorts.size(); i++) {
             if (i != index && peerPorts.get(i) != 0 && seeds.size() < 6) {
@@ -404,10 +412,10 @@
             }
         }
         return new Settings(
-                new Settings.Vm(VmId.of("vm-" + index), dataCentre(dc)),
+                new Settings.Vm(VmId.of("vm-" + index), dataCentreId(dataCentre)),
                 new Settings.Listen(HOST, 0, HOST, 0, peerPorts.get(index)),
                 new Settings.Platform(
-                        new InetSocketAddress(HOST, apis.get(dc).port()),
+                        new InetSocketAddress(HOST, apis.get(dataCentre).port()),
                         1000,
                         1000,
                         Duration.ofMillis(500)),
@@ -420,7 +428,7 @@
                 Duration.ofSeconds(10));
     }
 
-    void behave(final VersionBehaviour behaviour) {
+    void setBehaviour(final VersionBehaviour behaviour) {
         engines.forEach(e -> e.behave(behaviour));
     }
 
@@ -430,11 +438,11 @@
         return counts;
     }
 
-    private static DataCentreId dataCentre(final int index) {
+    private static DataCentreId dataCentreId(final int index) {
         return DataCentreId.of("dc-" + index);
     }
 
-    private static InetSocketAddress any() {
+    private static InetSocketAddress anyPort() {
         return new InetSocketAddress(HOST, 0);
     }
 }
--- a/fennelstage-router/src/test/java/org/fennelstage/main/FleetBillsTest.java
+++ b/fennelstage-router/src/test/java/org/fennelstage/main/FleetBillsTest.java
@@ -12,126 +12,134 @@
 import org.fennelstage.standin.VersionBehaviour;
 import org.junit.jupiter.api.Test;
 
-/** Each complete request is billed once, despite crashes, outages and lost responses. */
+/** Bills of complete requests after crashes, outages of the store and lost responses. */
 class FleetBillsTest {
 
     @Test
-    void everyCompleteAnswerIsBilledOnceWhileAnswersOfTheObjectApiAreLost() throws IOException {
+    void requestsAreBilledOnceWhileResponsesOfTheStoreAreLost() throws IOException {
         try (Fleet fleet = new Fleet(2, 3)) {
-            fleet.platform(0, new ObjectApiFaults(false, 0, 0.6, 0));
+            fleet.injectStoreFaults(0, new ObjectApiFaults(false, 0, 0.6, 0));
             final Set<String> complete = new HashSet<>();
-            // Several rounds, so that keepers overwrite segments whose write responses were lost.
+            // Several rounds, so that keepers write segments again whose responses were lost.
             for (int round = 0; round < 4; round++) {
                 complete.addAll(run(fleet, 18, 6));
-                Fleet.await("all bills", () -> fleet.billed().containsAll(complete));
+                Fleet.await(
+                        "all bills to be stored",
+                        () -> fleet.billedRequests().containsAll(complete));
             }
             assertBilledOnce(fleet, complete);
         }
     }
 
-    /** Guards against bills lost with the memory of a crashed VM during an outage. */
+    /** Guards against bills lost with the memory of a VM that crashes during an outage. */
     @Test
-    void theBillsOfADeadVmAreWrittenByTheirKeeper() throws IOException {
+    void keeperWritesTheBillsOfACrashedVm() throws IOException {
         try (Fleet fleet = new Fleet(1, 3)) {
-            fleet.platformDown(true);
+            fleet.setStoreUnavailable(true);
             final Set<String> complete = run(fleet, 12, 1);
             assertThat(complete).hasSize(12);
-            fleet.kill(0);
-            fleet.platformDown(false);
+            fleet.crash(0);
+            fleet.setStoreUnavailable(false);
 
-            Fleet.await("all bills", () -> fleet.billed().containsAll(complete));
+            Fleet.await(
+                    "all bills to be stored", () -> fleet.billedRequests().containsAll(complete));
             assertBilledOnce(fleet, complete);
         }
     }
 
     /** Guards against bills lost when their keeper crashes during an outage. */
     @Test
-    void theBillsOfADeadKeeperAreSentToTheNext() throws IOException {
+    void billsOfACrashedKeeperAreSentToTheNextKeeper() throws IOException {
         try (Fleet fleet = new Fleet(1, 3)) {
-            fleet.platformDown(true);
+            fleet.setStoreUnavailable(true);
             final Set<String> complete = run(fleet, 12, 1);
-            final int keeper = fleet.node(1).bills().waiting() > 0 ? 1 : 2;
-            assertThat(fleet.node(keeper).bills().waiting()).isEqualTo(12);
-            fleet.kill(keeper);
-            fleet.platformDown(false);
+            final int keeper = fleet.vm(1).bills().waiting() > 0 ? 1 : 2;
+            assertThat(fleet.vm(keeper).bills().waiting()).isEqualTo(12);
+            fleet.crash(keeper);
+            fleet.setStoreUnavailable(false);
 
-            Fleet.await("all bills", () -> fleet.billed().containsAll(complete));
+            Fleet.await(
+                    "all bills to be stored", () -> fleet.billedRequests().containsAll(complete));
             assertBilledOnce(fleet, complete);
         }
     }
 
     @Test
-    void aSingleVmBillsByItself() throws IOException {
+    void singleVmWritesItsOwnBills() throws IOException {
         try (Fleet fleet = new Fleet(1, 1)) {
             final Set<String> complete = run(fleet, 3, 1);
-            Fleet.await("all bills", () -> fleet.billed().containsAll(complete));
+            Fleet.await(
+                    "all bills to be stored", () -> fleet.billedRequests().containsAll(complete));
             assertBilledOnce(fleet, complete);
         }
     }
 
-    /** Guards against lost bills and cut responses in a graceful stop during an outage. */
+    /** Guards against lost bills and cut responses if a VM stops gracefully during an outage. */
     @Test
-    void aGracefulStopCutsNoAnswerAndLosesNoBillWithThePlatformDown() throws IOException {
+    void gracefulStopCutsNoResponseAndLosesNoBillWhileTheStoreIsUnavailable() throws IOException {
         try (Fleet fleet = new Fleet(1, 3)) {
-            fleet.platformDown(true);
+            fleet.setStoreUnavailable(true);
             final var inFlight =
-                    new java.util.ArrayList<java.util.concurrent.CompletableFuture<Fleet.Answer>>();
+                    new java.util.ArrayList<
+                            java.util.concurrent.CompletableFuture<Fleet.Response>>();
             for (int i = 0; i < 10; i++) {
-                inFlight.add(fleet.chatLater(0, "draft"));
+                inFlight.add(fleet.chatAsync(0, "draft"));
             }
             Fleet.await("requests to run", () -> fleet.executions().size() == 10);
-            fleet.node(0).stop();
+            fleet.vm(0).stop();
 
             final Set<String> complete = new HashSet<>();
             inFlight.forEach(
-                    a -> {
-                        assertThat(a.join().status()).isEqualTo(200);
-                        complete.add(a.join().request());
+                    r -> {
+                        assertThat(r.join().status()).isEqualTo(200);
+                        complete.add(r.join().requestId());
                     });
-            fleet.platformDown(false);
-            Fleet.await("all bills", () -> fleet.billed().containsAll(complete));
+            fleet.setStoreUnavailable(false);
+            Fleet.await(
+                    "all bills to be stored", () -> fleet.billedRequests().containsAll(complete));
             assertBilledOnce(fleet, complete);
         }
     }
 
-    /** Guards against a keeper that stops with the only copies of bills. */
+    /** Guards against a keeper that stops while it holds the only copies of bills. */
     @Test
-    void aKeeperThatStopsHandsTheBillsOfADeadVmOn() throws IOException {
+    void stoppingKeeperHandsOverTheBillsOfACrashedVm() throws IOException {
         try (Fleet fleet = new Fleet(1, 3)) {
-            fleet.platformDown(true);
+            fleet.setStoreUnavailable(true);
             final Set<String> complete = run(fleet, 12, 1);
-            final int keeper = fleet.node(1).bills().waiting() > 0 ? 1 : 2;
-            fleet.kill(0);
+            final int keeper = fleet.vm(1).bills().waiting() > 0 ? 1 : 2;
+            fleet.crash(0);
             Fleet.await(
-                    "the crash to be known",
-                    () -> fleet.node(keeper).members().dutyVms().size() == 2);
-            fleet.node(keeper).stop();
-            fleet.platformDown(false);
+                    "the crash to be detected",
+                    () -> fleet.vm(keeper).members().dutyVms().size() == 2);
+            fleet.vm(keeper).stop();
+            fleet.setStoreUnavailable(false);
 
-            Fleet.await("all bills", () -> fleet.billed().containsAll(complete));
+            Fleet.await(
+                    "all bills to be stored", () -> fleet.billedRequests().containsAll(complete));
             assertBilledOnce(fleet, complete);
         }
     }
 
-    /** Guards against a graceful stop that cuts a long response. */
+    /** Guards against a graceful stop that cuts off a response in progress. */
     @Test
-    void aGracefulStopWaitsForALongAnswer() throws IOException {
-        final VersionBehaviour slow = new VersionBehaviour(Fleet.GOOD, 0.9, 0, 0, 300, 1);
+    void gracefulStopWaitsForALongResponse() throws IOException {
+        final VersionBehaviour slow = new VersionBehaviour(Fleet.SMALL_V1, 0.9, 0, 0, 300, 1);
         try (Fleet fleet = new Fleet(1, 2, slow)) {
-            final var answer = fleet.chatLater(0, "draft");
+            final var response = fleet.chatAsync(0, "draft");
             Fleet.await("the request to run", () -> fleet.executions().size() == 1);
-            fleet.node(0).stop();
-            assertThat(answer.join().status()).isEqualTo(200);
-            assertThat(answer.join().body()).contains("token3");
+            fleet.vm(0).stop();
+            assertThat(response.join().status()).isEqualTo(200);
+            assertThat(response.join().body()).contains("token3");
         }
     }
 
-    private static Set<String> run(final Fleet fleet, final int count, final int nodes) {
+    private static Set<String> run(final Fleet fleet, final int count, final int vmCount) {
         final Set<String> complete = new HashSet<>();
         for (int i = 0; i < count; i++) {
-            final Fleet.Answer answer = fleet.chat(i % nodes, "draft");
-            assertThat(answer.status()).isEqualTo(200);
-            complete.add(answer.request());
+            final Fleet.Response response = fleet.chat(i % vmCount, "draft");
+            assertThat(response.status()).isEqualTo(200);
+            complete.add(response.requestId());
         }
         return complete;
     }
--- a/fennelstage-router/src/test/java/org/fennelstage/main/FleetCascadeTest.java
+++ b/fennelstage-router/src/test/java/org/fennelstage/main/FleetCascadeTest.java
@@ -6,72 +6,74 @@
 import org.fennelstage.bill.Bill;
 import org.junit.jupiter.api.Test;
 
-/** Cascade over a smaller and a larger model, from first requests to sufficient ratings. */
+/** Cascade of a small and a large model, before and after enough answers are rated. */
 class FleetCascadeTest {
 
-    /** Guards against answers of the smaller model before ratings show that it is good enough. */
+    /** Guards against answers of the small model before ratings show that they are good enough. */
     @Test
-    void whatIsNotKnownToBeGoodEnoughIsAnsweredByTheBestModelAndBilledOnce() throws IOException {
+    void withoutRatingsTheLargeModelAnswersAndTheRequestIsBilledOnce() throws IOException {
         try (Fleet fleet = fleet(0.9)) {
-            final Fleet.Answer answer = fleet.chat(0, "digest");
-            assertThat(answer.status()).isEqualTo(200);
-            assertThat(fleet.ranOn(Fleet.GOOD)).isEqualTo(1);
-            assertThat(fleet.ranOn(Fleet.LARGE)).isEqualTo(1);
+            final Fleet.Response response = fleet.chat(0, "digest");
+            assertThat(response.status()).isEqualTo(200);
+            assertThat(fleet.executionCount(Fleet.SMALL_V1)).isEqualTo(1);
+            assertThat(fleet.executionCount(Fleet.LARGE_V1)).isEqualTo(1);
 
-            Fleet.await("the bill", () -> fleet.billed().contains(answer.request()));
+            Fleet.await(
+                    "the bill to be stored",
+                    () -> fleet.billedRequests().contains(response.requestId()));
             final Bill bill = fleet.bills().get(0);
-            assertThat(bill.version()).isEqualTo(Fleet.LARGE);
+            assertThat(bill.version()).isEqualTo(Fleet.LARGE_V1);
             assertThat(bill.cost()).isEqualTo(2 * 4 * 1 / 1000.0);
         }
     }
 
     @Test
-    void aCheapModelThatIsGoodEnoughAnswersAloneInTheEnd() throws IOException {
+    void smallModelWithGoodRatingsEventuallyAnswersAlone() throws IOException {
         try (Fleet fleet = fleet(0.9)) {
             Fleet.await(
-                    "the cheap model to answer alone",
+                    "the small model to answer alone",
                     () ->
-                            fleet.chat(0, "digest").explained().contains("pero@v1")
-                                    && isAlone(fleet));
+                            fleet.chat(0, "digest").explanation().contains("pero@v1")
+                                    && runsOneModel(fleet));
         }
     }
 
     @Test
-    void aCheapModelThatIsNotGoodEnoughNeverAnswers() throws IOException {
+    void smallModelWithPoorRatingsNeverAnswers() throws IOException {
         try (Fleet fleet = fleet(0.3)) {
             for (int i = 0; i < 300; i++) {
-                final Fleet.Answer answer = fleet.chat(0, "digest");
-                assertThat(answer.explained()).contains("version=grande@v1");
+                final Fleet.Response response = fleet.chat(0, "digest");
+                assertThat(response.explanation()).contains("version=grande@v1");
             }
         }
     }
 
     /** Guards against a cascade within a session, which would change the version of the session. */
     @Test
-    void aSessionIsAnsweredByOneModelOnly() throws IOException {
+    void sessionUsesOnlyOneModel() throws IOException {
         try (Fleet fleet = fleet(0.9)) {
-            String token = fleet.chat(0, "digest", "x-session", "new").session();
+            String token = fleet.chat(0, "digest", "x-session", "new").sessionToken();
             for (int i = 0; i < 5; i++) {
-                final Fleet.Answer answer = fleet.chat(0, "digest", "x-session", token);
-                assertThat(answer.status()).isEqualTo(200);
-                token = answer.session();
+                final Fleet.Response response = fleet.chat(0, "digest", "x-session", token);
+                assertThat(response.status()).isEqualTo(200);
+                token = response.sessionToken();
             }
             assertThat(fleet.executions()).hasSize(6);
-            assertThat(fleet.ranOn(Fleet.LARGE)).isEqualTo(6);
+            assertThat(fleet.executionCount(Fleet.LARGE_V1)).isEqualTo(6);
         }
     }
 
-    private static boolean isAlone(final Fleet fleet) {
+    private static boolean runsOneModel(final Fleet fleet) {
         final int before = fleet.executions().size();
         fleet.chat(0, "digest");
         return fleet.executions().size() == before + 1;
     }
 
-    private static Fleet fleet(final double cheapSkill) throws IOException {
+    private static Fleet fleet(final double smallModelSkill) throws IOException {
         return new Fleet(
                 1,
                 1,
-                Fleet.behaviour(Fleet.GOOD, cheapSkill, 0),
-                Fleet.behaviour(Fleet.LARGE, 0.97, 0));
+                Fleet.behaviour(Fleet.SMALL_V1, smallModelSkill, 0),
+                Fleet.behaviour(Fleet.LARGE_V1, 0.97, 0));
     }
 }
--- a/fennelstage-router/src/test/java/org/fennelstage/main/FleetConfigurationTest.java
+++ b/fennelstage-router/src/test/java/org/fennelstage/main/FleetConfigurationTest.java
@@ -12,74 +12,74 @@
 import org.fennelstage.standin.ObjectApiFaults;
 import org.junit.jupiter.api.Test;
 
-/** Configuration reaches every VM that the platform or a peer can reach, and never reverts. */
+/** Configuration changes reach every VM that can reach the store or a peer, and never revert. */
 class FleetConfigurationTest {
 
-    /** Guards against changes that reach a data centre only through the platform. */
+    /** Guards against changes that reach a data centre only through the store. */
     @Test
-    void aDataCentreCutOffFromThePlatformHearsOfAWithdrawalFromPeers() throws IOException {
+    void dataCentreCutOffFromTheStoreReceivesAWithdrawalFromPeers() throws IOException {
         try (Fleet fleet = new Fleet(3, 3)) {
-            fleet.platform(2, new ObjectApiFaults(true, 0, 0, 0));
-            fleet.state(Fleet.GOOD, ModelVersion.State.WITHDRAWN);
+            fleet.injectStoreFaults(2, new ObjectApiFaults(true, 0, 0, 0));
+            fleet.declareVersion(Fleet.SMALL_V1, ModelVersion.State.WITHDRAWN);
 
-            Fleet.await("the withdrawal everywhere", () -> isWithdrawnEverywhere(fleet));
-            for (int node = 6; node < 9; node++) {
-                assertThat(fleet.chat(node, "draft").outcome()).isEqualTo("refused-not-run");
+            Fleet.await("all VMs to apply the withdrawal", () -> isWithdrawnOnAllVms(fleet));
+            for (int vm = 6; vm < 9; vm++) {
+                assertThat(fleet.chat(vm, "draft").outcome()).isEqualTo("refused-not-run");
             }
         }
     }
 
-    /** Guards against a replaced VM that cannot become ready during a platform outage. */
+    /** Guards against a restarted VM that cannot become ready while the store is unavailable. */
     @Test
-    void aFreshVmStartsFromPeersWhileThePlatformIsDown() throws IOException {
+    void restartedVmGetsItsConfigurationFromPeersWhileTheStoreIsUnavailable() throws IOException {
         try (Fleet fleet = new Fleet(2, 2)) {
-            fleet.platformDown(true);
-            fleet.kill(1);
+            fleet.setStoreUnavailable(true);
+            fleet.crash(1);
             fleet.start(1);
 
-            Fleet.await("the fresh VM to be ready", () -> fleet.node(1).isReady());
+            Fleet.await("the restarted VM to be ready", () -> fleet.vm(1).isReady());
             assertThat(fleet.chat(1, "draft").status()).isEqualTo(200);
-            assertThat(fleet.node(1).configuration().digest())
-                    .isEqualTo(fleet.node(0).configuration().digest());
+            assertThat(fleet.vm(1).configuration().digest())
+                    .isEqualTo(fleet.vm(0).configuration().digest());
         }
     }
 
     /** Guards against configurations that stay different after a network partition. */
     @Test
-    void aDataCentreThatWasCutOffFromEverythingCatchesUp() throws IOException {
+    void isolatedDataCentreCatchesUpAfterThePartition() throws IOException {
         try (Fleet fleet = new Fleet(2, 2)) {
-            fleet.cut(0, 1);
-            fleet.platform(1, new ObjectApiFaults(true, 0, 0, 0));
-            fleet.state(Fleet.GOOD, ModelVersion.State.WITHDRAWN);
+            fleet.partition(0, 1);
+            fleet.injectStoreFaults(1, new ObjectApiFaults(true, 0, 0, 0));
+            fleet.declareVersion(Fleet.SMALL_V1, ModelVersion.State.WITHDRAWN);
             Fleet.await(
-                    "the withdrawal at home",
+                    "the other data centre to apply the withdrawal",
                     () ->
-                            !fleet.node(0)
+                            !fleet.vm(0)
                                     .configuration()
-                                    .versions(Fleet.GOOD.model())
+                                    .versions(Fleet.SMALL_V1.model())
                                     .get(0)
                                     .acceptsNew());
             assertThat(fleet.chat(2, "draft").status()).isEqualTo(200);
 
-            fleet.removeCuts();
-            Fleet.await("the withdrawal everywhere", () -> isWithdrawnEverywhere(fleet));
+            fleet.removePartitions();
+            Fleet.await("all VMs to apply the withdrawal", () -> isWithdrawnOnAllVms(fleet));
         }
     }
 
     /** Guards against changes that spread only with probes: no VM probes in this test. */
     @Test
-    void aChangeIsPushedWithoutWaitingForAProbe() throws IOException {
-        final PeerTiming neverProbes =
+    void changeIsPushedWithoutWaitingForAProbe() throws IOException {
+        final PeerTiming noProbes =
                 new PeerTiming(Duration.ofHours(1), Duration.ofMillis(500), Duration.ofHours(1));
-        try (Fleet fleet = new Fleet(neverProbes, 2, 3)) {
-            fleet.platform(1, new ObjectApiFaults(true, 0, 0, 0));
-            fleet.state(Fleet.GOOD, ModelVersion.State.WITHDRAWN);
-            Fleet.await("the withdrawal everywhere", () -> isWithdrawnEverywhere(fleet));
+        try (Fleet fleet = new Fleet(noProbes, 2, 3)) {
+            fleet.injectStoreFaults(1, new ObjectApiFaults(true, 0, 0, 0));
+            fleet.declareVersion(Fleet.SMALL_V1, ModelVersion.State.WITHDRAWN);
+            Fleet.await("all VMs to apply the withdrawal", () -> isWithdrawnOnAllVms(fleet));
         }
     }
 
     @Test
-    void aDrainingBackendServerGetsNoNewWork() throws IOException {
+    void drainingBackendServerGetsNoNewRequests() throws IOException {
         try (Fleet fleet = new Fleet(1, 2)) {
             fleet.declare(
                     DeclarationKind.BACKEND_SERVER,
@@ -89,17 +89,19 @@
                             org.fennelstage.id.DataCentreId.of("dc-0"),
                             "127.0.0.1",
                             fleet.engine(0).port(),
-                            Set.of(Fleet.GOOD),
+                            Set.of(Fleet.SMALL_V1),
                             java.util.Optional.empty(),
                             16,
                             true));
             Fleet.await(
-                    "the draining server to be known",
+                    "all VMs to know that the server is draining",
                     () ->
-                            fleet.nodes().stream()
+                            fleet.vms().stream()
                                     .allMatch(
-                                            n ->
-                                                    n.configuration().servers(Fleet.GOOD).size()
+                                            vm ->
+                                                    vm.configuration()
+                                                                    .servers(Fleet.SMALL_V1)
+                                                                    .size()
                                                             == 1));
             for (int i = 0; i < 20; i++) {
                 assertThat(fleet.chat(i % 2, "draft").status()).isEqualTo(200);
@@ -108,75 +110,81 @@
         }
     }
 
-    /** Guards against a session that changes its version after faults and key rotation. */
+    /** Guards against a session that changes its version after a fault or a key rotation. */
     @Test
-    void aSessionKeepsItsVersionOverVmDeathKeyRotationAndOutage() throws IOException {
-        try (Fleet fleet = twoVersions()) {
-            final String session = fleet.chat(0, "draft", "x-session", "new").session();
+    void sessionKeepsItsVersionAcrossVmCrashKeyRotationAndStoreOutage() throws IOException {
+        try (Fleet fleet = fleetWithTwoVersions()) {
+            final String session = fleet.chat(0, "draft", "x-session", "new").sessionToken();
             assertThat(session).isNotEmpty();
-            final String began = fleet.chat(0, "draft", "x-session", session).explained();
+            final String firstExplanation =
+                    fleet.chat(0, "draft", "x-session", session).explanation();
             fleet.declare(
                     DeclarationKind.KEY_RING,
                     "sessions",
                     new KeyRing(
                             java.util.Optional.of("k2"),
                             java.util.Map.of("k1", "secret-1", "k2", "secret-2")));
-            fleet.state(Fleet.GOOD, ModelVersion.State.DRAINING);
+            fleet.declareVersion(Fleet.SMALL_V1, ModelVersion.State.DRAINING);
             Fleet.await(
-                    "draining everywhere",
+                    "all VMs to know the draining version and the new key",
                     () ->
-                            fleet.nodes().stream()
+                            fleet.vms().stream()
                                     .allMatch(
-                                            n ->
-                                                    n.configuration()
+                                            vm ->
+                                                    vm.configuration()
                                                                     .keys()
                                                                     .current()
                                                                     .equals(
                                                                             java.util.Optional.of(
                                                                                     "k2"))
-                                                            && !n.configuration()
-                                                                    .version(Fleet.GOOD)
+                                                            && !vm.configuration()
+                                                                    .version(Fleet.SMALL_V1)
                                                                     .get()
                                                                     .acceptsNew()));
-            fleet.kill(0);
-            fleet.platformDown(true);
+            fleet.crash(0);
+            fleet.setStoreUnavailable(true);
 
             String token = session;
-            for (int node : new int[] {1, 2, 3}) {
-                final Fleet.Answer answer = fleet.chat(node, "draft", "x-session", token);
-                assertThat(answer.status()).isEqualTo(200);
-                assertThat(answer.explained()).contains("version=pero@v1").contains("why=session");
-                token = answer.session();
+            for (int vm : new int[] {1, 2, 3}) {
+                final Fleet.Response response = fleet.chat(vm, "draft", "x-session", token);
+                assertThat(response.status()).isEqualTo(200);
+                assertThat(response.explanation())
+                        .contains("version=pero@v1")
+                        .contains("why=session");
+                token = response.sessionToken();
             }
-            assertThat(began).contains("version=pero@v1");
-            assertThat(fleet.chat(1, "draft").explained()).contains("version=pero@v2");
+            assertThat(firstExplanation).contains("version=pero@v1");
+            assertThat(fleet.chat(1, "draft").explanation()).contains("version=pero@v2");
         }
     }
 
     @Test
-    void aSessionOfAWithdrawnVersionIsRejectedAndNotMoved() throws IOException {
-        try (Fleet fleet = twoVersions()) {
-            final String session = fleet.chat(0, "draft", "x-session", "new").session();
-            fleet.state(Fleet.GOOD, ModelVersion.State.WITHDRAWN);
-            Fleet.await("the withdrawal everywhere", () -> isWithdrawnEverywhere(fleet));
-
-            final Fleet.Answer answer = fleet.chat(1, "draft", "x-session", session);
-            assertThat(answer.status()).isEqualTo(410);
-            assertThat(answer.outcome()).isEqualTo("refused-not-run");
+    void sessionOfAWithdrawnVersionIsRejectedAndNotMoved() throws IOException {
+        try (Fleet fleet = fleetWithTwoVersions()) {
+            final String session = fleet.chat(0, "draft", "x-session", "new").sessionToken();
+            fleet.declareVersion(Fleet.SMALL_V1, ModelVersion.State.WITHDRAWN);
+            Fleet.await("all VMs to apply the withdrawal", () -> isWithdrawnOnAllVms(fleet));
+
+            final Fleet.Response response = fleet.chat(1, "draft", "x-session", session);
+            assertThat(response.status()).isEqualTo(410);
+            assertThat(response.outcome()).isEqualTo("refused-not-run");
         }
     }
 
-    private static Fleet twoVersions() throws IOException {
+    private static Fleet fleetWithTwoVersions() throws IOException {
         return new Fleet(
-                2, 2, Fleet.behaviour(Fleet.GOOD, 0.9, 0), Fleet.behaviour(Fleet.BAD, 0.9, 0));
+                2,
+                2,
+                Fleet.behaviour(Fleet.SMALL_V1, 0.9, 0),
+                Fleet.behaviour(Fleet.SMALL_V2, 0.9, 0));
     }
 
-    private static boolean isWithdrawnEverywhere(final Fleet fleet) {
-        return fleet.nodes().stream()
+    private static boolean isWithdrawnOnAllVms(final Fleet fleet) {
+        return fleet.vms().stream()
                 .allMatch(
-                        n ->
-                                n.configuration()
-                                        .version(Fleet.GOOD)
+                        vm ->
+                                vm.configuration()
+                                        .version(Fleet.SMALL_V1)
                                         .filter(v -> !v.acceptsSession())
                                         .isPresent());
     }
--- a/fennelstage-router/src/test/java/org/fennelstage/main/FleetRetriesTest.java
+++ b/fennelstage-router/src/test/java/org/fennelstage/main/FleetRetriesTest.java
@@ -16,26 +16,28 @@
 /** Outcomes reported for retried idempotent requests. */
 class FleetRetriesTest {
 
-    private static final int DEAD_SERVERS = 30;
+    private static final int UNREACHABLE_SERVERS = 30;
     private static final int REQUESTS = 300;
 
-    /** Guards against reporting "not run" when an earlier attempt of the request ran. */
+    /** Guards against reporting "not run" if an earlier attempt of the request ran. */
     @Test
-    void aRequestOfWhichAnyAttemptRanIsNeverToldNotRun() throws IOException {
-        try (Fleet fleet = new Fleet(1, 1, Fleet.behaviour(Fleet.GOOD, 0.9, 1))) {
+    void requestIsNeverReportedAsNotRunIfAnyAttemptRan() throws IOException {
+        try (Fleet fleet = new Fleet(1, 1, Fleet.behaviour(Fleet.SMALL_V1, 0.9, 1))) {
             final int port = closedPort();
-            for (int i = 0; i < DEAD_SERVERS; i++) {
-                fleet.server("dead-" + i, 0, port, Set.of(Fleet.GOOD), Optional.empty());
+            for (int i = 0; i < UNREACHABLE_SERVERS; i++) {
+                fleet.declareServer(
+                        "unreachable-" + i, 0, port, Set.of(Fleet.SMALL_V1), Optional.empty());
             }
             Fleet.await(
-                    "the servers to be known",
+                    "the VM to know all servers",
                     () ->
-                            fleet.node(0).configuration().servers(Fleet.GOOD).size()
-                                    == DEAD_SERVERS + 2);
+                            fleet.vm(0).configuration().servers(Fleet.SMALL_V1).size()
+                                    == UNREACHABLE_SERVERS + 2);
             final Map<String, String> outcomes = new HashMap<>();
             for (int i = 0; i < REQUESTS; i++) {
-                final Fleet.Answer answer = fleet.say(0, "draft", "prompt " + i).join();
-                outcomes.put(answer.request(), answer.outcome());
+                final Fleet.Response response =
+                        fleet.chatWithPrompt(0, "draft", "prompt " + i).join();
+                outcomes.put(response.requestId(), response.outcome());
             }
             final Set<String> ran = new HashSet<>();
             for (final ModelEngine.Execution execution : fleet.executions()) {
--- a/fennelstage-router/src/test/java/org/fennelstage/main/FleetRolloutTest.java
+++ b/fennelstage-router/src/test/java/org/fennelstage/main/FleetRolloutTest.java
@@ -6,6 +6,7 @@
 import java.time.Duration;
 import java.util.List;
 import org.fennelstage.id.RolloutId;
+import org.fennelstage.id.VersionId;
 import org.fennelstage.objects.DeclarationKind;
 import org.fennelstage.peer.PeerTiming;
 import org.fennelstage.rollout.Rollout;
@@ -13,131 +14,148 @@
 import org.fennelstage.standin.ObjectApiFaults;
 import org.junit.jupiter.api.Test;
 
-/** A bad new version is halted early on all VMs; a good one reaches all requests. */
+/** Rollouts: a bad new version is halted early on all VMs; a good one reaches all requests. */
 class FleetRolloutTest {
 
     private static final RolloutId ID = RolloutId.of("june");
-    private static final int MAX_EXPOSED = 50;
+    private static final VersionId CURRENT_VERSION = Fleet.SMALL_V1;
+    private static final VersionId NEW_VERSION = Fleet.SMALL_V2;
+    private static final int MAX_EXPOSURES = 50;
 
-    /** Guards against evidence and exposure that are counted for each VM separately. */
+    /** Guards against evidence and exposures that are counted for each VM separately. */
     @Test
-    void aCandidateThatFailsIsHaltedOnAllVmsWithFewExposed() throws IOException {
+    void failingNewVersionIsHaltedOnAllVmsAfterFewExposures() throws IOException {
         try (Fleet fleet = fleet(0.9, 1)) {
-            start(fleet);
-            Fleet.await("the halt", () -> work(fleet) && isHaltedEverywhere(fleet));
-            final long exposed = fleet.ranOn(Fleet.BAD);
-            assertThat(exposed).isBetween(1L, (long) MAX_EXPOSED);
+            startRollout(fleet);
+            Fleet.await(
+                    "all VMs to know the halt",
+                    () -> completeRequests(fleet) && isHaltedOnAllVms(fleet));
+            final long exposures = fleet.executionCount(NEW_VERSION);
+            assertThat(exposures).isBetween(1L, (long) MAX_EXPOSURES);
 
             for (int i = 0; i < 30; i++) {
                 assertThat(fleet.chat(i % 9, "draft").status()).isEqualTo(200);
             }
-            assertThat(fleet.ranOn(Fleet.BAD)).isEqualTo(exposed);
+            assertThat(fleet.executionCount(NEW_VERSION)).isEqualTo(exposures);
         }
     }
 
-    /** Guards against a rollout that continues although answers are rated poor. */
+    /** Guards against a rollout that continues although its answers are rated poor. */
     @Test
-    void aCandidateThatIsRatedPoorIsHalted() throws IOException {
+    void poorlyRatedNewVersionIsHalted() throws IOException {
         try (Fleet fleet = fleet(0.3, 0)) {
-            start(fleet);
-            Fleet.await("the halt", () -> work(fleet) && isHaltedEverywhere(fleet));
-            assertThat(fleet.ranOn(Fleet.BAD)).isBetween(1L, (long) MAX_EXPOSED);
+            startRollout(fleet);
+            Fleet.await(
+                    "all VMs to know the halt",
+                    () -> completeRequests(fleet) && isHaltedOnAllVms(fleet));
+            assertThat(fleet.executionCount(NEW_VERSION)).isBetween(1L, (long) MAX_EXPOSURES);
         }
     }
 
-    /** Guards against a halt that spreads only through the platform. */
+    /** Guards against a halt that spreads only through the store. */
     @Test
-    void aHaltSpreadsFromPeerToPeerWhileThePlatformIsDown() throws IOException {
+    void haltSpreadsThroughPeersWhileTheStoreIsUnavailable() throws IOException {
         try (Fleet fleet = fleet(0.9, 1)) {
-            start(fleet);
-            Fleet.await("a first exposure", () -> work(fleet) && fleet.ranOn(Fleet.BAD) > 0);
-            fleet.platformDown(true);
-            Fleet.await("the halt", () -> work(fleet) && isHaltedEverywhere(fleet));
-            assertThat(fleet.ranOn(Fleet.BAD)).isLessThanOrEqualTo(MAX_EXPOSED);
+            startRollout(fleet);
+            Fleet.await(
+                    "the first exposure",
+                    () -> completeRequests(fleet) && fleet.executionCount(NEW_VERSION) > 0);
+            fleet.setStoreUnavailable(true);
+            Fleet.await(
+                    "all VMs to know the halt",
+                    () -> completeRequests(fleet) && isHaltedOnAllVms(fleet));
+            assertThat(fleet.executionCount(NEW_VERSION)).isLessThanOrEqualTo(MAX_EXPOSURES);
         }
     }
 
     /** Guards against a halt that spreads only with probes: no VM probes in this test. */
     @Test
-    void aHaltIsPushedToDataCentresThatHaveNoEvidenceOfTheirOwn() throws IOException {
-        final PeerTiming neverProbes =
+    void haltIsPushedToDataCentresWithoutEvidenceOfTheirOwn() throws IOException {
+        final PeerTiming noProbes =
                 new PeerTiming(Duration.ofHours(1), Duration.ofMillis(500), Duration.ofHours(1));
         try (Fleet fleet =
                 new Fleet(
-                        neverProbes,
+                        noProbes,
                         3,
                         2,
-                        Fleet.behaviour(Fleet.GOOD, 0.95, 0),
-                        Fleet.behaviour(Fleet.BAD, 0.9, 1))) {
-            start(fleet);
+                        Fleet.behaviour(CURRENT_VERSION, 0.95, 0),
+                        Fleet.behaviour(NEW_VERSION, 0.9, 1))) {
+            startRollout(fleet);
             Fleet.await(
-                    "a first exposure", () -> workOn(fleet, 0, 1) && fleet.ranOn(Fleet.BAD) > 0);
-            fleet.platformDown(true);
-            Fleet.await("the halt", () -> workOn(fleet, 0, 1) && isHaltedEverywhere(fleet));
-            assertThat(fleet.ranOn(Fleet.BAD)).isLessThanOrEqualTo(MAX_EXPOSED);
+                    "the first exposure",
+                    () -> completeRequestsOn(fleet, 0, 1) && fleet.executionCount(NEW_VERSION) > 0);
+            fleet.setStoreUnavailable(true);
+            Fleet.await(
+                    "all VMs to know the halt",
+                    () -> completeRequestsOn(fleet, 0, 1) && isHaltedOnAllVms(fleet));
+            assertThat(fleet.executionCount(NEW_VERSION)).isLessThanOrEqualTo(MAX_EXPOSURES);
         }
     }
 
-    /** Guards against use of the new version where the platform cannot assign exposure. */
+    /** Guards against use of the new version where no exposures can be reserved in the store. */
     @Test
-    void aDataCentreCutOffBeforeARolloutBeganExposesNobody() throws IOException {
+    void dataCentreCutOffFromTheStoreBeforeARolloutNeverUsesTheNewVersion() throws IOException {
         try (Fleet fleet = fleet(0.9, 0)) {
-            for (int dc = 0; dc < 3; dc++) {
-                fleet.platform(dc, new ObjectApiFaults(dc == 2, 0, 0, 0));
+            for (int dataCentre = 0; dataCentre < 3; dataCentre++) {
+                fleet.injectStoreFaults(dataCentre, new ObjectApiFaults(dataCentre == 2, 0, 0, 0));
             }
-            start(fleet);
+            startRollout(fleet);
             Fleet.await(
                     "the rollout to be known in the cut-off data centre",
-                    () -> !fleet.node(8).configuration().rollouts().isEmpty());
+                    () -> !fleet.vm(8).configuration().rollouts().isEmpty());
             for (int i = 0; i < 100; i++) {
-                final Fleet.Answer answer = fleet.chat(6 + i % 3, "draft");
-                assertThat(answer.explained()).contains("version=pero@v1");
+                final Fleet.Response response = fleet.chat(6 + i % 3, "draft");
+                assertThat(response.explanation()).contains("version=pero@v1");
             }
         }
     }
 
     @Test
-    void aGoodCandidateReachesAllTraffic() throws IOException {
+    void goodNewVersionReachesAllRequests() throws IOException {
         try (Fleet fleet = fleet(0.95, 0)) {
-            start(fleet);
+            startRollout(fleet);
             Fleet.await(
-                    "all traffic on the candidate",
+                    "all requests to use the new version",
                     () ->
-                            work(fleet)
+                            completeRequests(fleet)
                                     && fleet.chat(0, "draft")
-                                            .explained()
+                                            .explanation()
                                             .contains("version=pero@v2 ")
-                                    && fleet.chat(0, "draft").explained().contains("why=proven"));
+                                    && fleet.chat(0, "draft").explanation().contains("why=proven"));
         }
     }
 
     /** Guards against a version that is no longer observed after its rollout. */
     @Test
-    void aVersionThatTurnsBadAfterItsRolloutGivesWayToTheProvenOne() throws IOException {
+    void versionThatDegradesAfterItsRolloutIsReplacedByThePreviousOne() throws IOException {
         try (Fleet fleet = fleet(0.95, 0)) {
-            start(fleet);
-            Fleet.await("all traffic on the candidate", () -> work(fleet) && isOnCandidate(fleet));
-            fleet.behave(Fleet.behaviour(Fleet.BAD, 0.95, 1));
-            Fleet.await("the halt", () -> load(fleet) && isHaltedEverywhere(fleet));
-            for (int node = 0; node < 9; node++) {
-                assertThat(fleet.chat(node, "draft").explained()).contains("version=pero@v1");
+            startRollout(fleet);
+            Fleet.await(
+                    "all requests to use the new version",
+                    () -> completeRequests(fleet) && allVmsUseNewVersion(fleet));
+            fleet.setBehaviour(Fleet.behaviour(NEW_VERSION, 0.95, 1));
+            Fleet.await(
+                    "all VMs to know the halt",
+                    () -> sendRequests(fleet) && isHaltedOnAllVms(fleet));
+            for (int vm = 0; vm < 9; vm++) {
+                assertThat(fleet.chat(vm, "draft").explanation()).contains("version=pero@v1");
             }
         }
     }
 
-    private static boolean isOnCandidate(final Fleet fleet) {
-        return fleet.nodes().stream()
+    private static boolean allVmsUseNewVersion(final Fleet fleet) {
+        return fleet.vms().stream()
                 .allMatch(
-                        n ->
-                                fleet.chat(fleet.nodes().indexOf(n), "draft")
-                                        .explained()
+                        vm ->
+                                fleet.chat(fleet.vms().indexOf(vm), "draft")
+                                        .explanation()
                                         .contains("version=pero@v2 "));
     }
 
     /** Sends requests without checking their status: they may fail until the halt. */
-    private static boolean load(final Fleet fleet) {
-        for (int node = 0; node < 9; node++) {
-            fleet.chat(node, "draft");
+    private static boolean sendRequests(final Fleet fleet) {
+        for (int vm = 0; vm < 9; vm++) {
+            fleet.chat(vm, "draft");
         }
         return true;
     }
@@ -146,35 +164,35 @@
         return new Fleet(
                 3,
                 3,
-                Fleet.behaviour(Fleet.GOOD, 0.95, 0),
-                Fleet.behaviour(Fleet.BAD, skill, errors));
+                Fleet.behaviour(CURRENT_VERSION, 0.95, 0),
+                Fleet.behaviour(NEW_VERSION, skill, errors));
     }
 
-    private static void start(final Fleet fleet) {
+    private static void startRollout(final Fleet fleet) {
         fleet.declare(
                 DeclarationKind.ROLLOUT,
                 ID.value(),
                 new Rollout(
                         ID,
-                        Fleet.GOOD,
-                        Fleet.BAD,
+                        CURRENT_VERSION,
+                        NEW_VERSION,
                         Rollout.State.RUNNING,
                         List.of(0.5, 1.0),
                         Tolerance.DEFAULT));
     }
 
-    private static boolean work(final Fleet fleet) {
-        return workOn(fleet, 0, 1, 2, 3, 4, 5, 6, 7, 8);
+    private static boolean completeRequests(final Fleet fleet) {
+        return completeRequestsOn(fleet, 0, 1, 2, 3, 4, 5, 6, 7, 8);
     }
 
-    private static boolean workOn(final Fleet fleet, final int... nodes) {
-        for (final int node : nodes) {
-            assertThat(fleet.chat(node, "draft").status()).isEqualTo(200);
+    private static boolean completeRequestsOn(final Fleet fleet, final int... vms) {
+        for (final int vm : vms) {
+            assertThat(fleet.chat(vm, "draft").status()).isEqualTo(200);
         }
         return true;
     }
 
-    private static boolean isHaltedEverywhere(final Fleet fleet) {
-        return fleet.nodes().stream().allMatch(n -> n.halts().find(ID).isPresent());
+    private static boolean isHaltedOnAllVms(final Fleet fleet) {
+        return fleet.vms().stream().allMatch(vm -> vm.halts().find(ID).isPresent());
     }
 }
--- a/fennelstage-router/src/test/java/org/fennelstage/main/TlsTest.java
+++ b/fennelstage-router/src/test/java/org/fennelstage/main/TlsTest.java
@@ -35,25 +35,25 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** TLS for callers, mutual TLS between VMs, and key rotation. */
+/** TLS for callers, mutual TLS between VMs, and reloading of changed key files. */
 class TlsTest {
 
     private static final String HOST = "127.0.0.1";
     private static final Path KEYS = Path.of("src", "test", "resources", "tls");
 
     @Test
-    void vmsWithCertificatesOfTheAuthorityJoinAndAStrangerDoesNot() throws IOException {
+    void onlyVmsWithCertificatesOfTheAuthorityJoin() throws IOException {
         try (MemoryObjectStore store = store();
                 RouterVm first = start(store, "vm-a", keys("vm-a"), List.of());
                 RouterVm second = start(store, "vm-b", keys("vm-b"), List.of(first));
-                RouterVm stranger = start(store, "stranger", keys("stranger"), List.of(first))) {
+                RouterVm untrusted = start(store, "stranger", keys("stranger"), List.of(first))) {
             Fleet.await(
-                    "the two to know each other",
+                    "the VMs of the authority to know each other",
                     () ->
                             first.members().dutyVms().size() == 2
                                     && second.members().dutyVms().size() == 2);
-            Fleet.await("the stranger to be up", stranger::isReady);
-            assertThat(stranger.members().dutyVms()).containsExactly(VmId.of("stranger"));
+            Fleet.await("the VM with another authority to be ready", untrusted::isReady);
+            assertThat(untrusted.members().dutyVms()).containsExactly(VmId.of("stranger"));
             assertThat(first.members().find(VmId.of("stranger"))).isEmpty();
         }
     }
@@ -61,25 +61,25 @@
     @Test
     void callersAreServedOverTlsOnly() throws Exception {
         try (MemoryObjectStore store = store();
-                RouterVm node = start(store, "vm-a", keys("vm-a"), List.of())) {
-            Fleet.await("ready", node::isReady);
-            final HttpResponse<String> answer =
+                RouterVm vm = start(store, "vm-a", keys("vm-a"), List.of())) {
+            Fleet.await("the VM to be ready", vm::isReady);
+            final HttpResponse<String> response =
                     client().send(
-                                    request("https", node.port()),
+                                    request("https", vm.port()),
                                     HttpResponse.BodyHandlers.ofString());
-            assertThat(answer.statusCode()).isEqualTo(401);
+            assertThat(response.statusCode()).isEqualTo(401);
             assertThatThrownBy(
                             () ->
                                     client().send(
-                                                    request("http", node.port()),
+                                                    request("http", vm.port()),
                                                     HttpResponse.BodyHandlers.ofString()))
                     .isInstanceOf(IOException.class);
         }
     }
 
-    /** Guards against an incomplete key rotation that interrupts connections. */
+    /** Guards against key files that are read while they are being replaced. */
     @Test
-    void changedKeysAreReadAgainAndUnreadableOnesLeaveTheOldInUse(@TempDir final Path directory)
+    void changedKeyFilesAreReloadedAndUnreadableOnesAreIgnored(@TempDir final Path directory)
             throws IOException {
         final Path certificate = copy(directory, "vm-a.pem", "c.pem");
         final Path key = copy(directory, "vm-a.key.pem", "k.pem");
@@ -89,7 +89,7 @@
         contexts.refresh();
         assertThat(contexts.server()).isEqualTo(before);
 
-        Files.writeString(certificate, "half a certificate");
+        Files.writeString(certificate, "not a certificate");
         touch(certificate, 1);
         contexts.refresh();
         assertThat(contexts.server()).isEqualTo(before);
@@ -136,7 +136,7 @@
             final Settings.KeyFiles keys,
             final List<RouterVm> seeds)
             throws IOException {
-        final Settings.KeyFiles forCallers =
+        final Settings.KeyFiles callerKeys =
                 new Settings.KeyFiles(keys.certificate(), keys.key(), Optional.empty());
         final Settings settings =
                 new Settings(
@@ -144,11 +144,11 @@
                         new Settings.Listen(HOST, 0, HOST, 0, 0),
                         new Settings.Platform(
                                 new InetSocketAddress(HOST, 1), 100, 100, Duration.ofSeconds(1)),
-                        seeds.stream().map(n -> new InetSocketAddress(HOST, n.peerPort())).toList(),
+                        seeds.stream().map(s -> new InetSocketAddress(HOST, s.peerPort())).toList(),
                         new Settings.Limits(16384, 65536, Duration.ofSeconds(30)),
                         new Settings.Claims(4, Duration.ofSeconds(2)),
                         new Settings.Rating(Optional.empty(), 0),
-                        new Settings.Tls(Optional.of(forCallers), Optional.of(keys)),
+                        new Settings.Tls(Optional.of(callerKeys), Optional.of(keys)),
                         new Settings.Log(false, "warn"),
                         Duration.ofSeconds(1));
         return RouterVm.start(settings, RouterVm.Environment.standard().withStore(store));
@@ -160,7 +160,7 @@
                 .build();
     }
 
-    /** Trusts the certificate of vm-a directly. */
+    /** Returns a client that trusts only the certificate of vm-a. */
     private static HttpClient client() throws GeneralSecurityException, IOException {
         final KeyStore trusted = KeyStore.getInstance(KeyStore.getDefaultType());
         trusted.load(null, null);
--- a/spec/guards/run.py
+++ b/spec/guards/run.py
@@ -66,7 +66,7 @@
      "revision = conflict.current().revision();", "if (conflict.current() == null) {\n return true;\n}",
      "FleetBillsTest"),
     ("stop-waits-for-requests", ROUTER + "main/RouterVm.java",
-     "awaitUntil(deadline, () -> router.inFlight() == 0);", "awaitUntil(drainDeadline, () -> true);",
+     "awaitUntil(drainDeadline, () -> router.inFlight() == 0);", "awaitUntil(drainDeadline, () -> true);",
      "FleetBillsTest"),
     ("stop-hands-bills-over", ROUTER + "main/RouterVm.java",
      "bills.handOver().orTimeout(2, TimeUnit.SECONDS).exceptionally(e -> null).join();", "EventLog.write(Event.BILLS_WAITING, \"unit\", TimeUnit.SECONDS);",
