--- a/fennelstage-bench/src/main/java/org/fennelstage/bench/ExposureMain.java
+++ b/fennelstage-bench/src/main/java/org/fennelstage/bench/ExposureMain.java
@@ -256,7 +256,7 @@
                     || random.nextDouble() >= STEP_FRACTIONS.get(step)) {
                 return;
             }
-            if (policy == Policy.SHARES && !keepers.get(dataCentre).request().granted()) {
+            if (policy == Policy.SHARES && !keepers.get(dataCentre).requestExposure().granted()) {
                 return;
             }
             exposed++;
@@ -332,9 +332,9 @@
             boolean anyHalt = false;
             for (int dataCentre = 0; dataCentre < DATA_CENTRES; dataCentre++) {
                 if (now < storeUnavailableAfter) {
-                    keepers.get(dataCentre).tick();
+                    keepers.get(dataCentre).synchronizeProgress();
                 }
-                final var progress = keepers.get(dataCentre).judged();
+                final var progress = keepers.get(dataCentre).computeProgress();
                 anyHalt |= progress.halted().isPresent();
                 step = Math.max(step, Math.min(progress.step(), STEP_FRACTIONS.size() - 1));
                 done |= progress.done();
@@ -343,7 +343,7 @@
                 Arrays.fill(dataCentreHalted, true);
                 if (isolatedDataCentre >= 0) {
                     dataCentreHalted[isolatedDataCentre] =
-                            keepers.get(isolatedDataCentre).judged().halted().isPresent();
+                            keepers.get(isolatedDataCentre).computeProgress().halted().isPresent();
                 }
             }
             halted = true;
--- a/fennelstage-bench/src/main/java/org/fennelstage/bench/SlopesMain.java
+++ b/fennelstage-bench/src/main/java/org/fennelstage/bench/SlopesMain.java
@@ -19,7 +19,7 @@
 import org.fennelstage.id.VersionId;
 import org.fennelstage.id.VmId;
 import org.fennelstage.log.LogSetup;
-import org.fennelstage.main.RouterNode;
+import org.fennelstage.main.RouterVm;
 import org.fennelstage.objects.CallPriority;
 import org.fennelstage.objects.DeclarationKind;
 import org.fennelstage.objects.Declarations;
@@ -81,7 +81,7 @@
             declare(store, i, 8);
         }
         final long heapBytesBefore = usedHeapBytes();
-        final List<RouterNode> vms = new ArrayList<>();
+        final List<RouterVm> vms = new ArrayList<>();
         for (int i = 0; i < vmCount; i++) {
             vms.add(startVm(i, vms, api.port()));
         }
@@ -119,7 +119,7 @@
                 (double) (callsAfter.writes() - callsBefore.writes()) / MEASURED_SECONDS,
                 propagationMillis[CHANGE_COUNT / 2],
                 propagationMillis[CHANGE_COUNT - 1]);
-        vms.forEach(RouterNode::close);
+        vms.forEach(RouterVm::close);
         api.close();
         store.close();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
@@ -131,7 +131,7 @@
      * @return the times, sorted; milliseconds
      */
     private static long[] measurePropagation(
-            final MemoryObjectStore store, final List<RouterNode> vms) throws InterruptedException {
+            final MemoryObjectStore store, final List<RouterVm> vms) throws InterruptedException {
         final long[] propagationMillis = new long[CHANGE_COUNT];
         for (int i = 0; i < CHANGE_COUNT; i++) {
             final long start = System.nanoTime();
@@ -146,9 +146,8 @@
         return propagationMillis;
     }
 
-    private static RouterNode startVm(
-            final int index, final List<RouterNode> vms, final int objectApiPort)
-            throws IOException {
+    private static RouterVm startVm(
+            final int index, final List<RouterVm> vms, final int objectApiPort) throws IOException {
         final List<InetSocketAddress> seeds =
                 vms.stream()
                         .limit(3)
@@ -170,7 +169,7 @@
                         new Settings.Tls(Optional.empty(), Optional.empty()),
                         new Settings.Log(false, "error"),
                         Duration.ofSeconds(1));
-        return RouterNode.start(settings, RouterNode.Environment.standard());
+        return RouterVm.start(settings, RouterVm.Environment.standard());
     }
 
     private static Revision declare(
--- a/fennelstage-gateway/src/main/java/org/fennelstage/vm/StoreRelay.java
+++ b/fennelstage-gateway/src/main/java/org/fennelstage/vm/StoreRelay.java
@@ -118,7 +118,8 @@
                         failure -> onFailure(uri, call, failure)));
     }
 
-    private void onResponse(final String uri, final RelayedCall call, final Responses.Whole whole) {
+    private void onResponse(
+            final String uri, final RelayedCall call, final Responses.FullResponse whole) {
         reads.remove(uri, call);
         if (whole.status() >= SERVER_ERROR || whole.status() == TOO_MANY_CALLS) {
             fallback.onRelayFailed("store responded with status " + whole.status());
