--- a/fennelstage-bench/src/main/java/org/fennelstage/bench/LoadMain.java
+++ b/fennelstage-bench/src/main/java/org/fennelstage/bench/LoadMain.java
@@ -152,7 +152,7 @@
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(10));
         }
         for (int i = 0; i < inFlight.get(); i++) {
-            statistics.recordOutcome("in-flight-at-end");
+            statistics.recordOutcome("open-at-the-end");
         }
     }
 
--- a/fennelstage-bench/src/main/java/org/fennelstage/bench/LoadRequest.java
+++ b/fennelstage-bench/src/main/java/org/fennelstage/bench/LoadRequest.java
@@ -107,7 +107,7 @@
             onEnd.run();
             return;
         }
-        statistics.recordOutcome("retried-after-" + cause);
+        statistics.recordOutcome("repeated-after-" + cause);
         client.eventLoop().schedule(this::send, RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
@@ -155,13 +155,13 @@
         @Override
         public void onFailure(final CallFailure failure) {
             if (failure.phase() == CallFailure.Phase.NOT_SENT) {
-                retry("not-sent");
+                retry("refused-connection");
             } else if (kind.nonIdempotent()) {
                 // The request may have run. Another VM runs it, or returns its outcome, under the
                 // same key.
-                retry("connection-failed-with-key");
+                retry("broken-connection-with-key");
             } else {
-                retry("connection-failed");
+                retry("broken-connection");
             }
         }
 
--- a/fennelstage-router/src/main/java/org/fennelstage/route/DuplicateRequests.java
+++ b/fennelstage-router/src/main/java/org/fennelstage/route/DuplicateRequests.java
@@ -16,8 +16,7 @@
         final RequestId holder = existing.holder();
         return existing.state() == Claim.State.DONE
                 ? new Outcome.FailedAfterRun(
-                        "a request with this idempotency key has already completed: request "
-                                + holder)
+                        "this idempotency key already ran to its end as request " + holder)
                 : new Outcome.Unknown(
                         "this idempotency key is claimed by request "
                                 + holder
