--- a/fennelstage-peer/src/main/java/org/fennelstage/peer/PeerGroup.java
+++ b/fennelstage-peer/src/main/java/org/fennelstage/peer/PeerGroup.java
@@ -8,6 +8,8 @@
 import java.util.List;
 import java.util.Objects;
 import java.util.Optional;
+import java.util.Random;
+import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
@@ -232,14 +234,13 @@
         final Envelope.Builder body =
                 Envelope.newBuilder()
                         .setProbeRequest(ProbeRequest.newBuilder().setTarget(target.id().value()));
-        final List<java.util.concurrent.CompletableFuture<Boolean>> results = new ArrayList<>();
+        final List<CompletableFuture<Boolean>> results = new ArrayList<>();
         for (final Member prober : probers) {
             results.add(
                     network.request(address(prober), body.clone(), timing.timeout().multipliedBy(2))
                             .thenApply(r -> r.filter(e -> e.getDone().getAccepted()).isPresent()));
         }
-        java.util.concurrent.CompletableFuture.allOf(
-                        results.toArray(new java.util.concurrent.CompletableFuture<?>[0]))
+        CompletableFuture.allOf(results.toArray(new CompletableFuture<?>[0]))
                 .thenRun(
                         () -> {
                             if (results.stream().noneMatch(r -> r.join())) {
@@ -256,7 +257,8 @@
                         : members.find(VmId.of(probe.getMembers(0).getId()));
         final Envelope.Builder replyBody = probe.getJoining() ? fullMemberTable() : probe(false);
         // A sender marked as suspect or dead here must receive that state to refute it. Otherwise
-        // it is never probed again and gets no duties although it serves requests.
+        // it is never probed again and gets no duties in its data centre, although it serves
+        // requests.
         sender.filter(m -> m.state().compareTo(Member.State.SUSPECT) >= 0)
                 .ifPresent(m -> replyBody.getProbeBuilder().addMembers(PeerCodec.encode(m)));
         reply.accept(replyBody);
@@ -383,7 +385,7 @@
         if (includeRemote) {
             for (final List<Member> candidates : members.remoteMembers().values()) {
                 final List<Member> shuffled = new ArrayList<>(candidates);
-                Collections.shuffle(shuffled, new java.util.Random(random.nextLong()));
+                Collections.shuffle(shuffled, new Random(random.nextLong()));
                 targets.add(address(shuffled.get(0)));
             }
         }
--- a/fennelstage-peer/src/main/java/org/fennelstage/peer/PeerNetwork.java
+++ b/fennelstage-peer/src/main/java/org/fennelstage/peer/PeerNetwork.java
@@ -137,7 +137,8 @@
      * @param to the address of the peer
      * @param body the message
      * @param timeout the maximum time to wait for the reply
-     * @return completes with the reply, or empty after the timeout or a connection failure
+     * @return a future that completes with the reply, or empty after the timeout or a connection
+     *     failure
      */
     public CompletableFuture<Optional<Envelope>> request(
             final InetSocketAddress to, final Envelope.Builder body, final Duration timeout) {
--- a/fennelstage-peer/src/main/java/org/fennelstage/peer/PeerTiming.java
+++ b/fennelstage-peer/src/main/java/org/fennelstage/peer/PeerTiming.java
@@ -7,7 +7,8 @@
  *
  * @param period the interval between probes
  * @param timeout the maximum time to wait for the reply to a probe; at most a third of the period
- * @param suspicion the time after which a suspect VM that has not refuted is marked as dead
+ * @param suspicion the time that a suspected VM has to refute the suspicion before it is marked as
+ *     dead
  */
 public record PeerTiming(Duration period, Duration timeout, Duration suspicion) {
 
--- a/fennelstage-peer/src/main/java/org/fennelstage/peer/Reachability.java
+++ b/fennelstage-peer/src/main/java/org/fennelstage/peer/Reachability.java
@@ -13,10 +13,10 @@
     Reachability ALL = address -> true;
 
     /**
-     * Tells whether messages may be sent to an address.
+     * Returns whether messages may be sent to an address.
      *
      * @param address the address
-     * @return true if sending is permitted
+     * @return whether sending is permitted
      */
     boolean permits(InetSocketAddress address);
 }
