--- a/fennelstage-standin/src/main/java/org/fennelstage/standin/ModelEngine.java
+++ b/fennelstage-standin/src/main/java/org/fennelstage/standin/ModelEngine.java
@@ -24,7 +24,7 @@
 import org.fennelstage.objects.Json;
 
 /**
- * A stand-in model engine with continuous batching, a bounded prompt cache and a delayed load
+ * A stand-in model engine with continuous batching, a bounded prefix cache and a delayed load
  * report.
  *
  * <p>{@code POST /v1/chat/completions} streams tokens as server-sent events; {@code GET /load}
@@ -148,8 +148,8 @@
     private void handle(final ServerExchange exchange) {
         switch (exchange.path()) {
             case "/v1/chat/completions" -> complete(exchange);
-            case "/load" -> json(exchange, reported);
-            case "/admin/executions" -> json(exchange, executions());
+            case "/load" -> respondJson(exchange, reported);
+            case "/admin/executions" -> respondJson(exchange, executions());
             default -> exchange.respond(404, "text/plain", "no such path\n");
         }
     }
@@ -162,7 +162,7 @@
             exchange.respond(400, "text/plain", "malformed\n");
             return;
         }
-        final VersionBehaviour behaviour = find(body.path("model").asText());
+        final VersionBehaviour behaviour = findBehaviour(body.path("model").asText());
         if (behaviour == null) {
             exchange.respond(404, "text/plain", "version not loaded\n");
             return;
@@ -187,7 +187,7 @@
         startRequest(request);
     }
 
-    private synchronized VersionBehaviour find(final String name) {
+    private synchronized VersionBehaviour findBehaviour(final String name) {
         try {
             return versions.get(VersionId.parse(name));
         } catch (final IllegalArgumentException e) {
@@ -344,7 +344,7 @@
                         .orElse(body.path("max_tokens").asInt(16));
     }
 
-    private static void json(final ServerExchange exchange, final Object value) {
+    private static void respondJson(final ServerExchange exchange, final Object value) {
         exchange.respond(200, Map.of("content-type", "application/json"), Json.write(value));
     }
 }
--- a/fennelstage-standin/src/main/java/org/fennelstage/standin/ObjectApiStandIn.java
+++ b/fennelstage-standin/src/main/java/org/fennelstage/standin/ObjectApiStandIn.java
@@ -27,7 +27,7 @@
 import org.fennelstage.objects.WriteResult;
 
 /**
- * A stand-in of the object API over HTTP. {@code PUT /admin/faults} injects faults; {@code GET
+ * A stand-in for the object API over HTTP. {@code PUT /admin/faults} injects faults; {@code GET
  * /admin/counts} returns the number of calls.
  *
  * <p>Thread-safe.
--- a/fennelstage-standin/src/main/java/org/fennelstage/standin/StandInMain.java
+++ b/fennelstage-standin/src/main/java/org/fennelstage/standin/StandInMain.java
@@ -14,9 +14,10 @@
 import org.fennelstage.objects.MemoryObjectStore;
 
 /**
- * Starts stand-ins in one process: {@code --objects PORT}, {@code --rating PORT}, {@code --engine
- * PORT[,PORT…]} with {@code --version BEHAVIOUR} and {@code --slots N}, {@code --service
- * PORT[,PORT…]}. All listen on loopback only.
+ * Starts stand-ins in one process: {@code --objects PORT}, {@code --rating PORT} with {@code
+ * --rating-delay MILLIS}, {@code --engine PORT[,PORT…]} with {@code --version BEHAVIOUR} (see
+ * {@link VersionBehaviour#parse}) and {@code --slots N}, {@code --service PORT[,PORT…]}. All listen
+ * on loopback only.
  */
 public final class StandInMain {
 
